--- a/crates/core/src/pipeline/assignment.rs
+++ b/crates/core/src/pipeline/assignment.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::layer::Range;
-use crate::pipeline::engine::Engine;
+use crate::pipeline::model::Model;
 use crate::pipeline::placement::Handover;
 use crate::pipeline::placement::Order;
 use crate::pipeline::placement::Phase;
@@ -41,10 +41,10 @@
     /// An order counts as good as done only if nothing holds it up. One that waits for requests takes as long as these
     /// run, and runs that nobody knows of any more show only by the time that it takes.
     #[must_use]
-    pub fn phase(&self, now: Instant, requests: u64, engine: &Engine, loads: usize) -> Phase {
+    pub fn phase(&self, now: Instant, requests: u64, model: &Model, loads: usize) -> Phase {
         let gives_up = !self.before.is_empty() && !self.layers.contains(self.before);
         let is_held_up = gives_up && self.handover == Handover::Drain && requests > 0;
-        let is_overdue = now.since(self.since) > due(engine, self.layers, loads);
+        let is_overdue = now.since(self.since) > due(model, self.layers, loads);
         match self.is_refused || is_held_up || is_overdue {
             true => Phase::Waiting,
             false => Phase::Loading,
@@ -53,14 +53,14 @@
 }
 
 /// Returns how long after an order a server holds its layers that waits for nothing, while `loads` are under way.
-fn due(engine: &Engine, layers: Range, loads: usize) -> Span {
+fn due(model: &Model, layers: Range, loads: usize) -> Span {
     const MILLISECONDS: f64 = 1e3;
-    let share = f64::from(layers.len()) / f64::from(engine.layers.max(1));
-    let queue = match engine.loads_at_once {
+    let share = f64::from(layers.len()) / f64::from(model.layers.max(1));
+    let queue = match model.loads_at_once {
         0 => 1.0,
         at_once => (loads as f64 / f64::from(at_once)).max(1.0),
     };
-    let load = engine.load_seconds * MILLISECONDS * share * queue;
+    let load = model.load_seconds * MILLISECONDS * share * queue;
     Span(load as u64 + SHOWN.0)
 }
 
--- a/crates/core/src/pipeline/chooser/mod.rs
+++ b/crates/core/src/pipeline/chooser/mod.rs
@@ -16,9 +16,9 @@
 use crate::layer;
 use crate::layer::Range;
 use crate::name::Zone;
-use crate::pipeline::engine::Engine;
-use crate::pipeline::engine::Kind;
 use crate::pipeline::load::Load;
+use crate::pipeline::model::Kind;
+use crate::pipeline::model::Model;
 use crate::pipeline::outlier::Outliers;
 use crate::pipeline::path::Path;
 use crate::pipeline::server::Incarnation;
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     /// The model.
-    pub engine: Arc<Engine>,
+    pub model: Arc<Model>,
     /// Its servers that hold layers.
     pub nodes: Vec<Node>,
     zones: BTreeSet<Zone>,
@@ -174,10 +174,10 @@
 impl Fleet {
     /// Returns the fleet of a model.
     #[must_use]
-    pub fn new(engine: Arc<Engine>, nodes: Vec<Node>) -> Self {
+    pub fn new(model: Arc<Model>, nodes: Vec<Node>) -> Self {
         let zones = nodes.iter().map(|node| node.zone.clone()).collect();
         Self {
-            engine,
+            model,
             nodes,
             zones,
         }
@@ -186,7 +186,7 @@
     /// Returns the layers that no server holds, in order.
     #[must_use]
     pub fn missing(&self) -> Vec<Range> {
-        layer::gaps(self.engine.layers, self.nodes.iter().map(|node| node.held))
+        layer::gaps(self.model.layers, self.nodes.iter().map(|node| node.held))
     }
 
     /// Tells whether every layer has a holder.
@@ -307,7 +307,7 @@
             };
             let requests = load.requests(&part.server);
             let held = part.layers.len();
-            let read_ms = self.engine.read_ms(node.kind, held, need.prompt, requests);
+            let read_ms = self.model.read_ms(node.kind, held, need.prompt, requests);
             load.backlog.add(now, &part.server, read_ms * crowd);
         }
     }
--- a/crates/core/src/pipeline/chooser/walk.rs
+++ b/crates/core/src/pipeline/chooser/walk.rs
@@ -75,27 +75,27 @@
     }
 
     fn price<'a>(&self, node: &'a Node, need: Need, view: &View<'_>) -> Priced<'a> {
-        let engine = &self.engine;
-        let layers = f64::from(engine.layers.max(1));
+        let model = &self.model;
+        let layers = f64::from(model.layers.max(1));
         let used = view.load.tokens(&node.server);
         let is_full = view.load.refusals.holds(view.now, &node.server);
         let room = if is_full { 0.0 } else { node.room * USABLE };
         let full = if room > 0.0 { used / room } else { 1.0 };
-        let read_ms = need.prompt / engine.read_per_second.max(1.0) * 1e3 * node.kind.read_pace;
-        let write_ms = need.answer * engine.step_ms * node.kind.pace;
+        let read_ms = need.prompt / model.read_per_second.max(1.0) * 1e3 * node.kind.read_pace;
+        let write_ms = need.answer * model.step_ms * node.kind.pace;
         let slowness = view.load.slowness(view.now, &node.server);
         let requests = view.load.requests(&node.server);
         let share = f64::from(node.held.len()) / layers;
         let usual_read_ms =
-            engine.usual_prompt / engine.read_per_second.max(1.0) * 1e3 * node.kind.read_pace;
+            model.usual_prompt / model.read_per_second.max(1.0) * 1e3 * node.kind.read_pace;
         let reading = (requests as f64 * usual_read_ms * share / LASTS_MS).min(MOST_READING);
-        let busy = engine.batch_factor(requests) / (1.0 - reading);
+        let busy = model.batch_factor(requests) / (1.0 - reading);
         let crowded = busy * (1.0 + CROWDING * full.powi(4)) * slowness;
         Priced {
             node,
             per_layer_ms: (read_ms + write_ms) / layers * crowded,
             once_ms: view.penalty_ms(&node.server),
-            read_layer_ms: engine.read_ms(node.kind, 1, need.prompt, requests) * slowness,
+            read_layer_ms: model.read_ms(node.kind, 1, need.prompt, requests) * slowness,
             wait_ms: view.load.backlog.wait_ms(view.now, &node.server),
             ahead: view.ahead(&node.zone),
             left: room - used,
@@ -108,7 +108,7 @@
             .flat_map(|p| [p.node.held.start, p.node.held.end]);
         let mut positions: BTreeSet<u32> = ends.collect();
         positions.insert(0);
-        positions.insert(self.engine.layers);
+        positions.insert(self.model.layers);
         positions.extend(first.map(|part| part.layers.end));
         positions.into_iter().collect()
     }
@@ -133,7 +133,7 @@
             at = step.from;
         }
         parts.reverse();
-        let path = Path::new(self.engine.layers, parts).ok()?;
+        let path = Path::new(self.model.layers, parts).ok()?;
         Some(Choice {
             path,
             cost_ms: last.total_ms(),
--- a/crates/core/src/pipeline/document.rs
+++ b/crates/core/src/pipeline/document.rs
@@ -7,7 +7,7 @@
 use crate::name::Customer;
 use crate::name::Service;
 use crate::number::numbers;
-use crate::pipeline::engine::Engine;
+use crate::pipeline::model::Model;
 use crate::time::Span;
 
 numbers! {
@@ -99,7 +99,7 @@
     /// The most connections that one backend server accepts from all callers.
     pub connections: u64,
     /// The model, where the service runs one spread by layers.
-    pub engine: Option<Arc<Engine>>,
+    pub model: Option<Arc<Model>>,
 }
 
 /// What callers may send, and how long they may take.
@@ -215,7 +215,7 @@
 
     /// Returns the model of a service, if it runs one spread by layers.
     #[must_use]
-    pub fn engine(&self, service: &Service) -> Option<&Arc<Engine>> {
-        self.document.services.get(service)?.engine.as_ref()
+    pub fn model(&self, service: &Service) -> Option<&Arc<Model>> {
+        self.document.services.get(service)?.model.as_ref()
     }
 }
--- a/crates/core/src/pipeline/engine.rs
+++ b/crates/core/src/pipeline/model.rs
@@ -18,7 +18,7 @@
 
 /// A model spread by layers over backend servers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Engine {
+pub struct Model {
     /// How many layers the model has.
     pub layers: u32,
     /// The memory of one layer's weights, in megabytes.
@@ -53,17 +53,17 @@
 
 const BYTES_PER_MB: f64 = 1e6;
 
-impl Engine {
+impl Model {
     /// Returns how many layers fit into an accelerator when `share` of its memory may hold weights.
     ///
     /// # Examples
     ///
     /// ```
-    /// # use jujube_core::pipeline::engine::Engine;
-    /// # use jujube_core::pipeline::engine::Kind;
-    /// let engine = Engine { layers: 80, layer_mb: 1750.0, ..Engine::default() };
+    /// # use jujube_core::pipeline::model::Model;
+    /// # use jujube_core::pipeline::model::Kind;
+    /// let model = Model { layers: 80, layer_mb: 1750.0, ..Model::default() };
     /// let kind = Kind { memory_mb: 21_600.0, pace: 16.0, read_pace: 8.2 };
-    /// assert_eq!(engine.fits(kind, 1.0), 12);
+    /// assert_eq!(model.fits(kind, 1.0), 12);
     /// ```
     #[must_use]
     pub fn fits(&self, kind: Kind, share: f64) -> u32 {
@@ -92,9 +92,9 @@
     /// # Examples
     ///
     /// ```
-    /// # use jujube_core::pipeline::engine::Engine;
-    /// let engine = Engine { step_ms: 1.0, request_ms: 0.01, ..Engine::default() };
-    /// assert_eq!(engine.batch_factor(100), 2.0);
+    /// # use jujube_core::pipeline::model::Model;
+    /// let model = Model { step_ms: 1.0, request_ms: 0.01, ..Model::default() };
+    /// assert_eq!(model.batch_factor(100), 2.0);
     /// ```
     #[must_use]
     pub fn batch_factor(&self, requests: u64) -> f64 {
@@ -112,9 +112,9 @@
     /// # Examples
     ///
     /// ```
-    /// # use jujube_core::pipeline::engine::Engine;
-    /// # use jujube_core::pipeline::engine::Kind;
-    /// let engine = Engine {
+    /// # use jujube_core::pipeline::model::Model;
+    /// # use jujube_core::pipeline::model::Kind;
+    /// let model = Model {
     ///     layers: 80,
     ///     step_ms: 1.0,
     ///     read_per_second: 100_000.0,
@@ -122,7 +122,7 @@
     ///     ..Engine::default()
     /// };
     /// let kind = Kind { memory_mb: 0.0, pace: 16.0, read_pace: 8.0 };
-    /// assert_eq!(engine.read_ms(kind, 10, 1_000.0, 0), 14.0);
+    /// assert_eq!(model.read_ms(kind, 10, 1_000.0, 0), 14.0);
     /// ```
     #[must_use]
     pub fn read_ms(&self, kind: Kind, held: u32, tokens: f64, requests: u64) -> f64 {
--- a/crates/core/src/pipeline/placement/close.rs
+++ b/crates/core/src/pipeline/placement/close.rs
@@ -6,7 +6,7 @@
 use super::holder::beside;
 use crate::layer;
 use crate::layer::Range;
-use crate::pipeline::engine::Engine;
+use crate::pipeline::model::Model;
 
 /// The most servers that close the gaps of one group; the widest gap, of the largest accelerator's layers, takes
 /// about that many of the smallest.
@@ -32,10 +32,10 @@
 /// hold, then those whose layers others carry, the fewest requests first. A layer's last holder is not taken.
 ///
 /// Each keeps `room` tokens of room beside its layers.
-pub(super) fn close(engine: &Engine, group: &mut [Holder], room: f64) -> Vec<Order> {
+pub(super) fn close(model: &Model, group: &mut [Holder], room: f64) -> Vec<Order> {
     let mut orders: Vec<Order> = Vec::new();
     for _ in 0..MOST_CLOSING {
-        let gaps = layer::gaps(engine.layers, group.iter().map(|holder| holder.held));
+        let gaps = layer::gaps(model.layers, group.iter().map(|holder| holder.held));
         let is_free = |index: &usize| {
             let holder = &group[*index];
             let is_ordered = orders.iter().any(|order| order.server == holder.server);
@@ -45,7 +45,7 @@
         let free = (0..group.len()).filter(is_free);
         let choices = free.flat_map(|index| {
             let ways = gaps.iter().map(move |gap| (index, *gap));
-            ways.flat_map(|(index, gap)| choices(engine, group, index, gap, room))
+            ways.flat_map(|(index, gap)| choices(model, group, index, gap, room))
         });
         let best = choices.min_by(|a, b| {
             let by_cost = a.cost.total_cmp(&b.cost);
@@ -62,7 +62,7 @@
 }
 
 /// Returns the ways in which one server can close one gap, or a part of it.
-fn choices(engine: &Engine, group: &[Holder], index: usize, gap: Range, room: f64) -> Vec<Choice> {
+fn choices(model: &Model, group: &[Holder], index: usize, gap: Range, room: f64) -> Vec<Choice> {
     let holder = &group[index];
     let mut choices = Vec::new();
     let mut offer = |layers: Range, closes: u32, harm: f64| {
@@ -75,7 +75,7 @@
             });
         }
     };
-    let added = most(engine, holder, room).saturating_sub(holder.held.len());
+    let added = most(model, holder, room).saturating_sub(holder.held.len());
     let added = added.min(gap.len());
     if holder.held.end == gap.start {
         let layers = Range::new(holder.held.start, gap.start + added);
@@ -85,8 +85,8 @@
         let layers = Range::new(gap.end - added, holder.held.end);
         offer(layers, added, ADDING);
     }
-    if is_spare(engine, group, index) {
-        let count = beside(engine, holder.kind, room).min(gap.len());
+    if is_spare(model, group, index) {
+        let count = beside(model, holder.kind, room).min(gap.len());
         let harm = MOVING + holder.requests as f64;
         offer(Range::new(gap.start, gap.start + count), count, harm);
         offer(Range::new(gap.end - count, gap.end), count, harm);
@@ -95,21 +95,21 @@
 }
 
 /// Returns the most layers that a server holds beside room for the requests that pass through it.
-fn most(engine: &Engine, holder: &Holder, room: f64) -> u32 {
-    let usual = engine.usual_prompt + engine.usual_answer;
+fn most(model: &Model, holder: &Holder, room: f64) -> u32 {
+    let usual = model.usual_prompt + model.usual_answer;
     let used = holder.requests as f64 * usual;
-    beside(engine, holder.kind, used.max(room))
+    beside(model, holder.kind, used.max(room))
 }
 
 /// Tells whether others carry every layer that a server carries.
-fn is_spare(engine: &Engine, group: &[Holder], index: usize) -> bool {
+fn is_spare(model: &Model, group: &[Holder], index: usize) -> bool {
     let others = group
         .iter()
         .enumerate()
         .filter(|(other, _)| *other != index);
     let carried = others.map(|(_, holder)| kept(holder));
     let own = group[index].carried;
-    layer::gaps(engine.layers, carried)
+    layer::gaps(model.layers, carried)
         .iter()
         .all(|gap| gap.end <= own.start || own.end <= gap.start)
 }
--- a/crates/core/src/pipeline/placement/holder.rs
+++ b/crates/core/src/pipeline/placement/holder.rs
@@ -2,8 +2,8 @@
 
 use crate::layer::Range;
 use crate::name::Zone;
-use crate::pipeline::engine::Engine;
-use crate::pipeline::engine::Kind;
+use crate::pipeline::model::Kind;
+use crate::pipeline::model::Model;
 use crate::pipeline::server::Incarnation;
 
 /// What a server is about.
@@ -106,11 +106,11 @@
 pub(super) const GAP_SHARE: f64 = 0.97;
 
 /// Returns how many layers a server holds beside room for `room` tokens.
-pub(super) fn beside(engine: &Engine, kind: Kind, room: f64) -> u32 {
+pub(super) fn beside(model: &Model, kind: Kind, room: f64) -> u32 {
     const BYTES_PER_MB: f64 = 1e6;
-    let room_mb = room * engine.token_bytes / f64::from(engine.layers.max(1)) / BYTES_PER_MB;
-    let layers = kind.memory_mb / (engine.layer_mb + room_mb).max(1.0);
-    (layers as u32).min(engine.fits(kind, GAP_SHARE))
+    let room_mb = room * model.token_bytes / f64::from(model.layers.max(1)) / BYTES_PER_MB;
+    let layers = kind.memory_mb / (model.layer_mb + room_mb).max(1.0);
+    (layers as u32).min(model.fits(kind, GAP_SHARE))
 }
 
 /// Returns the holders as they are once orders are carried out.
--- a/crates/core/src/pipeline/placement/layers.rs
+++ b/crates/core/src/pipeline/placement/layers.rs
@@ -1,13 +1,13 @@
 //! What the holders of each layer have between them.
 
 use super::holder::Holder;
-use crate::pipeline::engine::Engine;
+use crate::pipeline::model::Model;
 
 /// What a layer without any holder counts as, in tokens: little, so that the first holder of each
 /// such layer is worth more than anything else.
 pub(super) const NOTHING: f64 = 500.0;
-pub(super) fn resistance(engine: &Engine, group: &[Holder]) -> f64 {
-    Layers::of(engine, group).resistance()
+pub(super) fn resistance(model: &Model, group: &[Holder]) -> f64 {
+    Layers::of(model, group).resistance()
 }
 
 /// What the holders of each layer have between them.
@@ -22,25 +22,25 @@
 }
 
 impl Layers {
-    pub(super) fn of(engine: &Engine, group: &[Holder]) -> Self {
-        let count = engine.layers as usize;
-        let paces = engine.kinds.values().map(|kind| kind.pace);
+    pub(super) fn of(model: &Model, group: &[Holder]) -> Self {
+        let count = model.layers as usize;
+        let paces = model.kinds.values().map(|kind| kind.pace);
         let mut layers = Self {
             room: vec![0.0; count],
             paced: vec![0.0; count],
             slowest: paces.fold(1.0, f64::max),
         };
         for holder in group {
-            layers.add(engine, holder, 1.0);
+            layers.add(model, holder, 1.0);
         }
         layers
     }
 
-    pub(super) fn add(&mut self, engine: &Engine, holder: &Holder, sign: f64) {
+    pub(super) fn add(&mut self, model: &Model, holder: &Holder, sign: f64) {
         if holder.held.is_empty() {
             return;
         }
-        let each = engine.room(holder.kind, holder.held.len()) / f64::from(holder.held.len());
+        let each = model.room(holder.kind, holder.held.len()) / f64::from(holder.held.len());
         let end = holder.held.end.min(self.room.len() as u32);
         for layer in holder.held.start as usize..end as usize {
             self.room[layer] += sign * each;
@@ -67,7 +67,7 @@
 
 /// Returns the tokens that a group carries: those of its fullest layer over all holders of it.
 #[must_use]
-pub fn capacity(engine: &Engine, group: &[Holder]) -> f64 {
-    let layers = Layers::of(engine, group);
+pub fn capacity(model: &Model, group: &[Holder]) -> f64 {
+    let layers = Layers::of(model, group);
     layers.room.into_iter().fold(f64::INFINITY, f64::min)
 }
--- a/crates/core/src/pipeline/placement/mend.rs
+++ b/crates/core/src/pipeline/placement/mend.rs
@@ -14,7 +14,7 @@
 use super::rows::scratch;
 use crate::layer;
 use crate::layer::Range;
-use crate::pipeline::engine::Engine;
+use crate::pipeline::model::Model;
 
 /// A server of a running group moves to other layers when that takes away this share of the group's
 /// resistance. Moving takes seconds in which it carries nothing, so a small gain does not pay.
@@ -40,62 +40,62 @@
 ///
 /// Each step is the one that lowers the group's resistance most, so the servers that still serve
 /// stay where they are unless others hold their layers as well.
-pub(super) fn mend(engine: &Engine, group: &[Holder]) -> Vec<Order> {
+pub(super) fn mend(model: &Model, group: &[Holder]) -> Vec<Order> {
     for (rooms, room) in CLOSING_ROOMS {
         let mut mended = group.to_vec();
-        let mut orders = fill(engine, &mut mended, rooms);
-        let is_closed = is_whole(engine, &mended);
-        orders.extend(close(engine, &mut mended, room));
-        if !is_whole(engine, &mended) {
+        let mut orders = fill(model, &mut mended, rooms);
+        let is_closed = is_whole(model, &mended);
+        orders.extend(close(model, &mut mended, room));
+        if !is_whole(model, &mended) {
             continue;
         }
         // While a gap is open or being closed, a move for room takes away layers that a path needs.
-        if is_closed && carries(engine, group) {
-            improve(engine, &mut mended, &mut orders, rooms);
+        if is_closed && carries(model, group) {
+            improve(model, &mut mended, &mut orders, rooms);
         }
         return orders;
     }
-    rearrange(engine, group)
+    rearrange(model, group)
 }
 
 /// Gives layers to the empty servers of a group whose others have theirs, and moves those where much is gained.
-pub(super) fn round_out(engine: &Engine, group: &[Holder]) -> Vec<Order> {
+pub(super) fn round_out(model: &Model, group: &[Holder]) -> Vec<Order> {
     let mut group = group.to_vec();
-    let mut orders = fill(engine, &mut group, &ROOMS);
-    improve(engine, &mut group, &mut orders, &ROOMS);
+    let mut orders = fill(model, &mut group, &ROOMS);
+    improve(model, &mut group, &mut orders, &ROOMS);
     orders
 }
 
-fn is_whole(engine: &Engine, group: &[Holder]) -> bool {
-    capacity(engine, group) > 0.0
+fn is_whole(model: &Model, group: &[Holder]) -> bool {
+    capacity(model, group) > 0.0
 }
 
 /// Tells whether requests can pass through the whole model now.
-pub(super) fn carries(engine: &Engine, group: &[Holder]) -> bool {
+pub(super) fn carries(model: &Model, group: &[Holder]) -> bool {
     let carried = group.iter().map(|holder| holder.carried);
-    layer::gaps(engine.layers, carried).is_empty()
+    layer::gaps(model.layers, carried).is_empty()
 }
 
 /// Moves any servers to close a gap that nobody can close without giving up layers that nobody else holds.
-fn rearrange(engine: &Engine, group: &[Holder]) -> Vec<Order> {
+fn rearrange(model: &Model, group: &[Holder]) -> Vec<Order> {
     for rooms in [&ROOMS, &NARROW_ROOMS] {
         let mut mended = group.to_vec();
-        let mut orders = fill(engine, &mut mended, rooms);
+        let mut orders = fill(model, &mut mended, rooms);
         for _ in 0..MOST_CLOSING {
-            if is_whole(engine, &mended) {
+            if is_whole(model, &mended) {
                 return orders;
             }
-            if !step(engine, &mut mended, &mut orders, rooms, WORTH_CLOSING) {
+            if !step(model, &mut mended, &mut orders, rooms, WORTH_CLOSING) {
                 break;
             }
         }
-        if is_whole(engine, &mended) {
+        if is_whole(model, &mended) {
             return orders;
         }
     }
     // No single moves close the gap, and nothing is served here anyway: place all anew.
     let free = group.iter().filter(|h| h.phase != Phase::Waiting);
-    let mut orders = scratch(engine, &free.cloned().collect::<Vec<_>>());
+    let mut orders = scratch(model, &free.cloned().collect::<Vec<_>>());
     let held = |order: &Order| {
         group
             .iter()
@@ -107,14 +107,14 @@
 }
 
 /// Gives layers to empty servers.
-fn fill(engine: &Engine, group: &mut [Holder], rooms: &[f64]) -> Vec<Order> {
+fn fill(model: &Model, group: &mut [Holder], rooms: &[f64]) -> Vec<Order> {
     let mut orders = Vec::new();
-    let is_served = is_whole(engine, group);
+    let is_served = is_whole(model, group);
     for index in 0..group.len() {
         let may_wait = is_served && group[index].phase == Phase::Joining;
         let refuses = group[index].phase == Phase::Waiting;
         if group[index].held.is_empty() && !may_wait && !refuses {
-            let best = best_range(engine, group, index, rooms);
+            let best = best_range(model, group, index, rooms);
             take(group, &mut orders, index, best);
         }
     }
@@ -122,9 +122,9 @@
 }
 
 /// Moves servers of a whole group where much is gained.
-fn improve(engine: &Engine, group: &mut [Holder], orders: &mut Vec<Order>, rooms: &[f64]) {
+fn improve(model: &Model, group: &mut [Holder], orders: &mut Vec<Order>, rooms: &[f64]) {
     for _ in 0..MOST_MOVES {
-        if !step(engine, group, orders, rooms, WORTH_MOVING) {
+        if !step(model, group, orders, rooms, WORTH_MOVING) {
             return;
         }
     }
@@ -132,21 +132,21 @@
 
 /// Makes the move that gains most; `false` when none gains a share of the group's resistance.
 fn step(
-    engine: &Engine,
+    model: &Model,
     group: &mut [Holder],
     orders: &mut Vec<Order>,
     rooms: &[f64],
     share: f64,
 ) -> bool {
-    let is_closed = is_whole(engine, group);
-    let before = resistance(engine, group);
+    let is_closed = is_whole(model, group);
+    let before = resistance(model, group);
     let may_move = |index: &usize| match group[*index].phase {
         Phase::Settled => true,
         Phase::Waiting => false,
         Phase::Joining | Phase::Loading => !is_closed,
     };
     let moves = (0..group.len()).filter(may_move).filter_map(|index| {
-        let (layers, after) = best_range(engine, group, index, rooms)?;
+        let (layers, after) = best_range(model, group, index, rooms)?;
         Some((index, layers, after))
     });
     let best = moves.min_by(|a, b| a.2.total_cmp(&b.2));
@@ -170,25 +170,25 @@
 
 /// Returns the range by which one server lowers the group's resistance most, and what is left of it.
 fn best_range(
-    engine: &Engine,
+    model: &Model,
     group: &[Holder],
     index: usize,
     rooms: &[f64],
 ) -> Option<(Range, f64)> {
     let holder = &group[index];
-    let mut others = Layers::of(engine, group);
-    others.add(engine, holder, -1.0);
-    let counts = rooms.iter().map(|room| beside(engine, holder.kind, *room));
+    let mut others = Layers::of(model, group);
+    others.add(model, holder, -1.0);
+    let counts = rooms.iter().map(|room| beside(model, holder.kind, *room));
     let mut counts: Vec<u32> = counts.collect();
     counts.retain(|count| *count > 0);
     counts.dedup();
     let mut best: Option<(Range, f64)> = None;
     for count in counts {
-        for start in 0..=engine.layers - count.min(engine.layers) {
+        for start in 0..=model.layers - count.min(model.layers) {
             let mut moved = holder.clone();
             moved.held = Range::new(start, start + count);
             let mut layers = others.clone();
-            layers.add(engine, &moved, 1.0);
+            layers.add(model, &moved, 1.0);
             let left = layers.resistance();
             if best.is_none_or(|(_, least)| left < least) {
                 best = Some((moved.held, left));
--- a/crates/core/src/pipeline/placement/mod.rs
+++ b/crates/core/src/pipeline/placement/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 use crate::name::Zone;
-use crate::pipeline::engine::Engine;
+use crate::pipeline::model::Model;
 
 pub use holder::Handover;
 pub use holder::Holder;
@@ -29,21 +29,21 @@
 /// only once the requests on it have ended close no gap, and orders break off what passes. As soon as there is a
 /// path, orders wait again, since each that does not breaks off the streams of its server.
 #[must_use]
-pub fn plan(engine: &Engine, holders: &[Holder]) -> Vec<Order> {
-    if engine.layers == 0 {
+pub fn plan(model: &Model, holders: &[Holder]) -> Vec<Order> {
+    if model.layers == 0 {
         return Vec::new();
     }
-    let is_dark = !mend::carries(engine, holders);
+    let is_dark = !mend::carries(model, holders);
     let holders: Vec<Holder> = holders.iter().map(|h| as_believed(h, is_dark)).collect();
     let mut orders = Vec::new();
-    for group in groups(engine, &holders) {
+    for group in groups(model, &holders) {
         if group.iter().all(|holder| holder.held.is_empty()) {
-            orders.extend(rows::rows(engine, &group));
+            orders.extend(rows::rows(model, &group));
         } else {
-            orders.extend(mend::mend(engine, &group));
+            orders.extend(mend::mend(model, &group));
         }
     }
-    orders.retain(|order| is_safe(engine, &holders, order));
+    orders.retain(|order| is_safe(model, &holders, order));
     if is_dark {
         for order in &mut orders {
             order.handover = Handover::Break;
@@ -64,21 +64,21 @@
 /// Tells whether a server has the memory for what it is ordered to hold.
 ///
 /// A server that is ordered to hold more crashes with all requests on it.
-fn is_safe(engine: &Engine, holders: &[Holder], order: &Order) -> bool {
+fn is_safe(model: &Model, holders: &[Holder], order: &Order) -> bool {
     let holder = holders.iter().find(|holder| holder.server == order.server);
-    let fits = holder.map_or(0, |holder| engine.fits(holder.kind, holder::GAP_SHARE));
-    !order.layers.is_empty() && order.layers.end <= engine.layers && order.layers.len() <= fits
+    let fits = holder.map_or(0, |holder| model.fits(holder.kind, holder::GAP_SHARE));
+    !order.layers.is_empty() && order.layers.end <= model.layers && order.layers.len() <= fits
 }
 
-fn groups(engine: &Engine, holders: &[Holder]) -> Vec<Vec<Holder>> {
+fn groups(model: &Model, holders: &[Holder]) -> Vec<Vec<Holder>> {
     let mut zones: BTreeMap<Zone, Vec<Holder>> = BTreeMap::new();
     for holder in holders {
         let zone = zones.entry(holder.zone.clone()).or_default();
         zone.push(holder.clone());
     }
     let complete = |group: &[Holder]| -> bool {
-        let fits = group.iter().map(|h| engine.fits(h.kind, holder::GAP_SHARE));
-        fits.sum::<u32>() >= engine.layers
+        let fits = group.iter().map(|h| model.fits(h.kind, holder::GAP_SHARE));
+        fits.sum::<u32>() >= model.layers
     };
     let (whole, partial): (Vec<_>, Vec<_>) = zones.into_values().partition(|g| complete(g));
     let rest: Vec<Holder> = partial.into_iter().flatten().collect();
--- a/crates/core/src/pipeline/placement/rows.rs
+++ b/crates/core/src/pipeline/placement/rows.rs
@@ -7,7 +7,7 @@
 use super::layers::capacity;
 use super::mend::round_out;
 use crate::layer::Range;
-use crate::pipeline::engine::Engine;
+use crate::pipeline::model::Model;
 
 /// The room for requests, in tokens, that parts of full rows keep beside their layers.
 ///
@@ -25,24 +25,24 @@
 /// times the requests of a slow one with the same memory. Further rows on what is left stand in when
 /// a part dies, and take what the first cannot. Servers that make no complete row any more hold the
 /// layers with the fewest holders.
-pub(super) fn rows(engine: &Engine, group: &[Holder]) -> Vec<Order> {
-    let mut orders = scratch(engine, group);
+pub(super) fn rows(model: &Model, group: &[Holder]) -> Vec<Order> {
+    let mut orders = scratch(model, group);
     let placed = apply(group, &orders);
-    if capacity(engine, &placed) > 0.0 {
-        orders.extend(round_out(engine, &placed));
+    if capacity(model, &placed) > 0.0 {
+        orders.extend(round_out(model, &placed));
     }
     orders
 }
 
 /// Makes the rows of a group.
-pub(super) fn scratch(engine: &Engine, group: &[Holder]) -> Vec<Order> {
+pub(super) fn scratch(model: &Model, group: &[Holder]) -> Vec<Order> {
     let mut left = group.to_vec();
     left.sort_by(|a, b| {
         let by_pace = a.kind.pace.total_cmp(&b.kind.pace);
         by_pace.then_with(|| a.server.cmp(&b.server))
     });
     let mut orders: Vec<Order> = Vec::new();
-    while let Some(row) = fast_row(engine, &left).or_else(|| last_row(engine, &left, &orders)) {
+    while let Some(row) = fast_row(model, &left).or_else(|| last_row(model, &left, &orders)) {
         left.retain(|holder| row.iter().all(|order| order.server != holder.server));
         orders.extend(row);
     }
@@ -50,62 +50,58 @@
 }
 
 /// Makes a row of the fewest servers, from the fastest on, that hold all layers beside their room.
-pub(super) fn fast_row(engine: &Engine, holders: &[Holder]) -> Option<Vec<Order>> {
-    let fewest = (1..=holders.len()).find(|count| holds(engine, &holders[..*count], FAST_ROOM))?;
-    widest(engine, &holders[..fewest])
+pub(super) fn fast_row(model: &Model, holders: &[Holder]) -> Option<Vec<Order>> {
+    let fewest = (1..=holders.len()).find(|count| holds(model, &holders[..*count], FAST_ROOM))?;
+    widest(model, &holders[..fewest])
 }
 
 /// Makes a row of all servers that are left, if it has room enough or there is no other row.
-pub(super) fn last_row(
-    engine: &Engine,
-    holders: &[Holder],
-    others: &[Order],
-) -> Option<Vec<Order>> {
-    if !others.is_empty() && !holds(engine, holders, LEAST_ROOM) {
+pub(super) fn last_row(model: &Model, holders: &[Holder], others: &[Order]) -> Option<Vec<Order>> {
+    if !others.is_empty() && !holds(model, holders, LEAST_ROOM) {
         return None;
     }
-    widest(engine, holders)
+    widest(model, holders)
 }
 
 /// Tells whether servers hold all layers with room for `room` tokens at each.
-pub(super) fn holds(engine: &Engine, holders: &[Holder], room: f64) -> bool {
-    let layers = holders.iter().map(|h| beside(engine, h.kind, room));
-    layers.sum::<u32>() >= engine.layers
+pub(super) fn holds(model: &Model, holders: &[Holder], room: f64) -> bool {
+    let layers = holders.iter().map(|h| beside(model, h.kind, room));
+    layers.sum::<u32>() >= model.layers
 }
 
 /// Makes the row of servers that leaves the most room at its fullest part.
-pub(super) fn widest(engine: &Engine, holders: &[Holder]) -> Option<Vec<Order>> {
+pub(super) fn widest(model: &Model, holders: &[Holder]) -> Option<Vec<Order>> {
     const HALVINGS: usize = 24;
-    if !holds(engine, holders, 0.0) {
+    if !holds(model, holders, 0.0) {
         return None;
     }
     let mut fits = 0.0;
     let mut too_much = 1e9;
     for _ in 0..HALVINGS {
         let room = (fits + too_much) / 2.0;
-        if holds(engine, holders, room) {
+        if holds(model, holders, room) {
             fits = room;
         } else {
             too_much = room;
         }
     }
-    row(engine, holders, fits)
+    row(model, holders, fits)
 }
 
 /// Makes one row of the first servers, each with room for `room` tokens; `None` when they do not
 /// hold all layers.
-pub(super) fn row(engine: &Engine, holders: &[Holder], room: f64) -> Option<Vec<Order>> {
+pub(super) fn row(model: &Model, holders: &[Holder], room: f64) -> Option<Vec<Order>> {
     let mut start = 0;
     let mut orders = Vec::new();
     for holder in holders {
-        let count = beside(engine, holder.kind, room).min(engine.layers - start);
+        let count = beside(model, holder.kind, room).min(model.layers - start);
         if count == 0 {
             continue;
         }
         let layers = Range::new(start, start + count);
         orders.push(Order::new(holder.server.clone(), layers));
         start += count;
-        if start == engine.layers {
+        if start == model.layers {
             return Some(orders);
         }
     }
--- a/crates/core/tests/assignments.rs
+++ b/crates/core/tests/assignments.rs
@@ -12,7 +12,7 @@
 use jujube_core::pipeline::placement::Phase;
 use jujube_core::time::Instant;
 
-use pipeline::engine;
+use pipeline::model;
 
 const HELD: Range = Range { start: 0, end: 8 };
 
@@ -26,7 +26,7 @@
 fn phase(orders: &Assignments, now: u64, requests: u64) -> Phase {
     let given = orders.get(&"a".into());
     given.map_or(Phase::Settled, |given| {
-        given.phase(Instant(now), requests, &engine(), orders.len())
+        given.phase(Instant(now), requests, &model(), orders.len())
     })
 }
 
--- a/crates/core/tests/closing.rs
+++ b/crates/core/tests/closing.rs
@@ -15,8 +15,8 @@
 use jujube_core::pipeline::placement::plan;
 
 use pipeline::carried_out;
-use pipeline::engine;
 use pipeline::kind;
+use pipeline::model;
 
 fn holder(name: &str, accelerator: &str, layers: (u32, u32), requests: u64) -> Holder {
     let held = Range::new(layers.0, layers.1);
@@ -41,7 +41,7 @@
         holder("spare", "l40s", (50, 68), 10),
     ];
 
-    let orders = plan(&engine(), &holders);
+    let orders = plan(&model(), &holders);
 
     assert_eq!(names(&orders), ["left"]);
     assert_eq!(orders[0].layers, Range::new(0, 29));
@@ -57,7 +57,7 @@
         holder("right", "a100", (42, 80), 40),
     ];
 
-    let orders = plan(&engine(), &holders);
+    let orders = plan(&model(), &holders);
 
     assert_eq!(names(&orders), ["idle"]);
     assert_eq!(orders[0].layers, Range::new(34, 42));
@@ -74,9 +74,9 @@
         holder("spare-3", "l4", (38, 46), 50),
         holder("last", "l4", (74, 80), 0),
     ];
-    let engine = engine();
+    let model = model();
 
-    let orders = plan(&engine, &holders);
+    let orders = plan(&model, &holders);
 
     let placed = carried_out(&holders, &orders);
     let kept: Vec<&Holder> = placed
@@ -87,7 +87,7 @@
                 .all(|name| **name != *h.server.server.0)
         })
         .collect();
-    let lost = gaps(engine.layers, kept.iter().map(|holder| holder.held));
+    let lost = gaps(model.layers, kept.iter().map(|holder| holder.held));
     assert!(lost.iter().all(|gap| gap.start >= 54), "{orders:?}");
 }
 
@@ -102,9 +102,9 @@
         }
     }
     holders.push(loading.clone());
-    let engine = engine();
+    let model = model();
     assert_eq!(
-        names(&plan(&engine, &holders)),
+        names(&plan(&model, &holders)),
         ["spare"],
         "room is to be gained"
     );
@@ -114,7 +114,7 @@
     holders.pop();
     holders.push(loading);
 
-    assert_eq!(plan(&engine, &holders), []);
+    assert_eq!(plan(&model, &holders), []);
 }
 
 /// One zone with a gap that only a server with requests can close.
@@ -129,7 +129,7 @@
 /// Guards against refusals of all callers for as long as the requests on one server run.
 #[test]
 fn requests_are_broken_off_where_no_other_can_pass() {
-    let orders = plan(&engine(), &gap_beside_requests());
+    let orders = plan(&model(), &gap_beside_requests());
 
     assert_eq!(names(&orders), ["busy"]);
     assert_eq!(orders[0].handover, Handover::Break);
@@ -145,7 +145,7 @@
         holders.push(other);
     }
 
-    let orders = plan(&engine(), &holders);
+    let orders = plan(&model(), &holders);
 
     assert_eq!(names(&orders), ["busy"]);
     assert_eq!(orders[0].handover, Handover::Drain);
@@ -160,7 +160,7 @@
     holders[1].phase = Phase::Waiting;
     holders.push(holder("other", "l4", (70, 80), 35));
 
-    let orders = plan(&engine(), &holders);
+    let orders = plan(&model(), &holders);
 
     assert_eq!(names(&orders), ["other"]);
     assert_eq!(orders[0].handover, Handover::Break);
@@ -173,5 +173,5 @@
     holders[1].carried = Range::default();
     holders[1].phase = Phase::Waiting;
 
-    assert_eq!(plan(&engine(), &holders), []);
+    assert_eq!(plan(&model(), &holders), []);
 }
--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -31,8 +31,8 @@
 use rand::rngs::StdRng;
 
 use pipeline::carried_out;
-use pipeline::engine;
 use pipeline::fleet;
+use pipeline::model;
 use pipeline::region;
 
 static NOBODY: LazyLock<Outliers> = LazyLock::new(Outliers::default);
@@ -97,8 +97,8 @@
             .iter()
             .find(|n| n.server == part.server)
             .unwrap();
-        let engine = &fleet.engine;
-        let read_ms = engine.read_ms(node.kind, part.layers.len(), NEED.prompt, 0);
+        let model = &fleet.model;
+        let read_ms = model.read_ms(node.kind, part.layers.len(), NEED.prompt, 0);
         *reading.entry(part.server.clone()).or_default() += read_ms;
     }
 }
@@ -107,9 +107,9 @@
 ///
 /// Without `counts_crowd` each entry chooses as if it were alone and forgets what it gave out.
 fn moved(counts_crowd: bool) -> BTreeMap<Incarnation, f64> {
-    let engine = engine();
+    let model = model();
     let holders = region();
-    let fleet = fleet(&engine, &carried_out(&holders, &plan(&engine, &holders)));
+    let fleet = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
     let home: Zone = "b".into();
     let calm = (Load::default(), Suspicion::default());
     let old = fleet.choose(NEED, &view(&calm.0, &calm.1, &home)).unwrap();
@@ -168,9 +168,9 @@
 /// A single stream keeps its first part, which has read its tokens.
 #[test]
 fn a_single_stream_is_repaired() {
-    let engine = engine();
+    let model = model();
     let holders = region();
-    let fleet = fleet(&engine, &carried_out(&holders, &plan(&engine, &holders)));
+    let fleet = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
     let home: Zone = "b".into();
     let (load, mut suspicion) = (Load::default(), Suspicion::default());
     let calm = suspicion.clone();
@@ -190,9 +190,9 @@
 /// A new request is not sent where much is still to be read.
 #[test]
 fn a_backlog_turns_new_requests_away() {
-    let engine = engine();
+    let model = model();
     let holders = region();
-    let fleet = fleet(&engine, &carried_out(&holders, &plan(&engine, &holders)));
+    let fleet = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
     let home: Zone = "b".into();
     let (mut load, suspicion) = (Load::default(), Suspicion::default());
     let choose = |load: &Load| {
@@ -212,13 +212,13 @@
 
 /// The best path, and the servers that are left when a part in its middle leaves.
 fn without_a_part(view: &View<'_>) -> (Path, Fleet) {
-    let engine = engine();
+    let model = model();
     let holders = region();
-    let whole = fleet(&engine, &carried_out(&holders, &plan(&engine, &holders)));
+    let whole = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
     let path = whole.choose(NEED, view).unwrap().path;
     let leaver = path.parts()[1].server.clone();
     let staying = whole.nodes.iter().filter(|node| node.server != leaver);
-    let left = Fleet::new(engine.into(), staying.cloned().collect());
+    let left = Fleet::new(model.into(), staying.cloned().collect());
     (path, left)
 }
 
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -33,10 +33,10 @@
 use proptest::prelude::*;
 
 use pipeline::carried_out;
-use pipeline::engine;
 use pipeline::fleet;
 use pipeline::holders;
 use pipeline::kind;
+use pipeline::model;
 use pipeline::region;
 
 const NEED: Need = Need {
@@ -68,9 +68,9 @@
 }
 
 fn placed() -> Fleet {
-    let engine = engine();
+    let model = model();
     let holders = region();
-    fleet(&engine, &carried_out(&holders, &plan(&engine, &holders)))
+    fleet(&model, &carried_out(&holders, &plan(&model, &holders)))
 }
 
 fn zones(fleet: &Fleet, path: &Path) -> Vec<Zone> {
@@ -278,7 +278,7 @@
 
 /// Finds the cheapest path by trying all, as the naive version.
 fn naive(fleet: &Fleet, reached: u32, used: &mut Vec<usize>, costs: &BTreeMap<usize, f64>) -> f64 {
-    let layers = fleet.engine.layers;
+    let layers = fleet.model.layers;
     if reached == layers {
         return 0.0;
     }
@@ -327,15 +327,15 @@
     /// by more than one hop.
     #[test]
     fn the_search_agrees_with_trying_all_paths(holders in small_fleet()) {
-        let mut engine = engine();
-        engine.layers = 6;
-        let fleet = fleet(&engine, &holders);
+        let mut model = model();
+        model.layers = 6;
+        let fleet = fleet(&model, &holders);
         let world = World::default();
         let home: Zone = "a".into();
         let layers = 6.0;
         let costs: BTreeMap<usize, f64> = fleet.nodes.iter().enumerate().map(|(index, node)| {
-            let read = NEED.prompt / engine.read_per_second * 1e3 * node.kind.read_pace;
-            let write = NEED.answer * engine.step_ms * node.kind.pace;
+            let read = NEED.prompt / model.read_per_second * 1e3 * node.kind.read_pace;
+            let write = NEED.answer * model.step_ms * node.kind.pace;
             (index, (read + write) / layers)
         }).collect();
 
@@ -355,11 +355,11 @@
 
 #[test]
 fn a_single_server_with_all_layers_is_a_path() {
-    let mut engine = engine();
-    engine.layers = 20;
+    let mut model = model();
+    model.layers = 20;
     let mut one = holders("a", &[("a100", 1)]);
     one[0].held = Range::new(0, 20);
-    let fleet = fleet(&engine, &one);
+    let fleet = fleet(&model, &one);
     let home: Zone = "a".into();
 
     let choice = fleet.choose(NEED, &World::default().view(&home)).unwrap();
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -8,7 +8,7 @@
 mod pipeline;
 
 use jujube_core::layer::Range;
-use jujube_core::pipeline::engine::Engine;
+use jujube_core::pipeline::model::Model;
 use jujube_core::pipeline::placement::Holder;
 use jujube_core::pipeline::placement::Phase;
 use jujube_core::pipeline::placement::capacity;
@@ -16,9 +16,9 @@
 use proptest::prelude::*;
 
 use pipeline::carried_out;
-use pipeline::engine;
 use pipeline::holders;
 use pipeline::kind;
+use pipeline::model;
 use pipeline::region;
 
 /// What a zone carries of a calm day, in tokens.
@@ -29,28 +29,28 @@
     inside.cloned().collect()
 }
 
-fn settled(engine: &Engine, holders: &[Holder]) -> Vec<Holder> {
+fn settled(model: &Model, holders: &[Holder]) -> Vec<Holder> {
     const ROUNDS: usize = 6;
     let mut holders = holders.to_vec();
     for _ in 0..ROUNDS {
-        let orders = plan(engine, &holders);
+        let orders = plan(model, &holders);
         holders = carried_out(&holders, &orders);
     }
     holders
 }
 
-fn fits(engine: &Engine, holder: &Holder) -> bool {
-    f64::from(holder.held.len()) * engine.layer_mb <= holder.kind.memory_mb
+fn fits(model: &Model, holder: &Holder) -> bool {
+    f64::from(holder.held.len()) * model.layer_mb <= holder.kind.memory_mb
 }
 
 #[test]
 fn empty_zones_carry_a_calm_day_with_half_as_much_again() {
-    let engine = engine();
+    let model = model();
 
-    let placed = carried_out(&region(), &plan(&engine, &region()));
+    let placed = carried_out(&region(), &plan(&model, &region()));
 
     for name in ["a", "b", "c"] {
-        let carried = capacity(&engine, &zone(&placed, name));
+        let carried = capacity(&model, &zone(&placed, name));
         assert!(
             carried >= 1.5 * CALM,
             "zone {name} carries {carried} tokens"
@@ -60,11 +60,11 @@
 
 #[test]
 fn a_settled_plan_asks_for_nothing_more() {
-    let engine = engine();
+    let model = model();
 
-    let placed = settled(&engine, &region());
+    let placed = settled(&model, &region());
 
-    assert_eq!(plan(&engine, &placed), []);
+    assert_eq!(plan(&model, &placed), []);
 }
 
 /// Callers of a zone find a path again after any one of its servers is gone.
@@ -73,16 +73,16 @@
 /// servers whose layers others hold as well. The zone then carries a calm day.
 #[test]
 fn any_single_death_is_mended() {
-    let engine = engine();
-    let placed = settled(&engine, &region());
+    let model = model();
+    let placed = settled(&model, &region());
 
     for dead in &placed {
         let mut left = zone(&placed, &dead.zone.0);
         left.retain(|holder| holder.server != dead.server);
 
-        let mended = settled(&engine, &left);
+        let mended = settled(&model, &left);
 
-        let carried = capacity(&engine, &mended);
+        let carried = capacity(&model, &mended);
         assert!(
             carried >= CALM,
             "without {} it carries {carried}",
@@ -93,14 +93,14 @@
 
 #[test]
 fn a_mend_moves_few_servers() {
-    let engine = engine();
-    let placed = settled(&engine, &region());
+    let model = model();
+    let placed = settled(&model, &region());
 
     for dead in &placed {
         let mut left = placed.clone();
         left.retain(|holder| holder.server != dead.server);
 
-        let orders = plan(&engine, &left);
+        let orders = plan(&model, &left);
 
         assert!(
             orders.len() <= 6,
@@ -115,12 +115,12 @@
 /// stay as they are, so that nothing else stops.
 #[test]
 fn a_server_that_joins_gets_layers_and_moves_nobody() {
-    let engine = engine();
-    let mut holders = settled(&engine, &region());
+    let model = model();
+    let mut holders = settled(&model, &region());
     let joined = Holder::new("new".into(), "b".into(), kind("l4"), Range::default());
     holders.push(joined);
 
-    let orders = plan(&engine, &holders);
+    let orders = plan(&model, &holders);
 
     assert_eq!(orders.len(), 1);
     assert_eq!(&*orders[0].server.server.0, "new");
@@ -132,17 +132,17 @@
 /// opens another gap, so both must move.
 #[test]
 fn a_gap_that_no_single_move_closes_is_closed() {
-    let mut engine = engine();
-    engine.layers = 8;
+    let mut model = model();
+    model.layers = 8;
     let mut left = holders("a", &[("l4", 2)]);
-    left[0].kind.memory_mb = 5.0 * engine.layer_mb / 0.97;
+    left[0].kind.memory_mb = 5.0 * model.layer_mb / 0.97;
     left[1].kind = left[0].kind;
     left[0].held = Range::new(0, 3);
     left[1].held = Range::new(3, 7);
 
-    let mended = settled(&engine, &left);
+    let mended = settled(&model, &left);
 
-    assert!(capacity(&engine, &mended) > 0.0);
+    assert!(capacity(&model, &mended) > 0.0);
 }
 
 /// A release costs one load a server, not two.
@@ -151,8 +151,8 @@
 /// that moment and then gets the old one's layers; nobody else moves.
 #[test]
 fn a_replacement_takes_the_layers_of_the_one_that_leaves() {
-    let engine = engine();
-    let mut holders = settled(&engine, &region());
+    let model = model();
+    let mut holders = settled(&model, &region());
     let leaver = zone(&holders, "b")
         .into_iter()
         .find(|h| h.kind == kind("l40s"))
@@ -165,12 +165,12 @@
         ..leaver.clone()
     });
 
-    assert_eq!(plan(&engine, &holders), [], "it waits a moment");
+    assert_eq!(plan(&model, &holders), [], "it waits a moment");
     holders.retain(|holder| holder.server != leaver.server);
     for holder in &mut holders {
         holder.phase = Phase::Settled;
     }
-    let orders = plan(&engine, &holders);
+    let orders = plan(&model, &holders);
 
     assert_eq!(orders.len(), 1);
     assert_eq!(&*orders[0].server.server.0, "new");
@@ -180,8 +180,8 @@
 /// A server that loads is not sent elsewhere while its zone serves.
 #[test]
 fn a_loading_server_is_left_to_load() {
-    let engine = engine();
-    let mut holders = settled(&engine, &region());
+    let model = model();
+    let mut holders = settled(&model, &region());
     for holder in &mut holders {
         holder.phase = Phase::Loading;
     }
@@ -190,27 +190,27 @@
         .position(|h| &*h.zone.0 == "b" && h.kind == kind("l40s"));
     holders.remove(dead.unwrap());
 
-    assert_eq!(plan(&engine, &holders), []);
+    assert_eq!(plan(&model, &holders), []);
 }
 
 /// Zones that have no memory for a copy of the model are placed as one group.
 #[test]
 fn small_zones_share_a_copy() {
-    let engine = engine();
+    let model = model();
     let mut small = holders("a", &[("l40s", 2)]);
     small.extend(holders("b", &[("l40s", 2)]));
 
-    let placed = carried_out(&small, &plan(&engine, &small));
+    let placed = carried_out(&small, &plan(&model, &small));
 
-    assert!(capacity(&engine, &placed) > 0.0);
+    assert!(capacity(&model, &placed) > 0.0);
 }
 
 #[test]
 fn too_little_memory_gets_no_orders() {
-    let engine = engine();
+    let model = model();
     let few = holders("a", &[("l4", 3)]);
 
-    assert_eq!(plan(&engine, &few), []);
+    assert_eq!(plan(&model, &few), []);
 }
 
 fn any_holders() -> impl Strategy<Value = Vec<Holder>> {
@@ -238,22 +238,22 @@
     /// No order ever asks for more layers than a server's memory holds: it would crash.
     #[test]
     fn no_order_exceeds_memory(holders in any_holders()) {
-        let engine = engine();
-        let placed = carried_out(&holders, &plan(&engine, &holders));
+        let model = model();
+        let placed = carried_out(&holders, &plan(&model, &holders));
         for (before, after) in holders.iter().zip(&placed) {
-            prop_assert!(before.held == after.held || fits(&engine, after));
-            prop_assert!(after.held.end <= engine.layers);
+            prop_assert!(before.held == after.held || fits(&model, after));
+            prop_assert!(after.held.end <= model.layers);
         }
     }
 
     /// A group that can carry requests is never left without a path by the plan itself.
     #[test]
     fn no_plan_opens_a_gap(holders in any_holders()) {
-        let engine = engine();
-        let placed = carried_out(&holders, &plan(&engine, &holders));
+        let model = model();
+        let placed = carried_out(&holders, &plan(&model, &holders));
         for name in ["a", "b", "c"] {
-            let before = capacity(&engine, &zone(&holders, name));
-            let after = capacity(&engine, &zone(&placed, name));
+            let before = capacity(&model, &zone(&holders, name));
+            let after = capacity(&model, &zone(&placed, name));
             prop_assert!(before == 0.0 || !before.is_finite() || after > 0.0);
         }
     }
@@ -261,7 +261,7 @@
     /// The plan depends on what servers hold only: a new planner goes on where the last one was.
     #[test]
     fn a_new_planner_makes_the_same_plan(holders in any_holders()) {
-        let engine = engine();
-        prop_assert_eq!(plan(&engine, &holders), plan(&engine, &holders));
+        let model = model();
+        prop_assert_eq!(plan(&model, &holders), plan(&model, &holders));
     }
 }
--- a/crates/core/tests/support/pipeline.rs
+++ b/crates/core/tests/support/pipeline.rs
@@ -7,8 +7,8 @@
 use jujube_core::layer::Range;
 use jujube_core::pipeline::chooser::Fleet;
 use jujube_core::pipeline::chooser::Node;
-use jujube_core::pipeline::engine::Engine;
-use jujube_core::pipeline::engine::Kind;
+use jujube_core::pipeline::model::Kind;
+use jujube_core::pipeline::model::Model;
 use jujube_core::pipeline::placement::Holder;
 use jujube_core::pipeline::placement::Order;
 
@@ -27,8 +27,8 @@
 }
 
 /// The users' model.
-pub fn engine() -> Engine {
-    Engine {
+pub fn model() -> Model {
+    Model {
         layers: 80,
         layer_mb: 1_750.0,
         token_bytes: 918_000.0,
@@ -86,7 +86,7 @@
 }
 
 /// The fleet that holders make up.
-pub fn fleet(engine: &Engine, holders: &[Holder]) -> Fleet {
+pub fn fleet(model: &Model, holders: &[Holder]) -> Fleet {
     let holding = holders.iter().filter(|holder| !holder.held.is_empty());
     let nodes = holding.enumerate().map(|(index, holder)| Node {
         server: holder.server.clone(),
@@ -94,7 +94,7 @@
         zone: holder.zone.clone(),
         held: holder.held,
         kind: holder.kind,
-        room: engine.room(holder.kind, holder.held.len()),
+        room: model.room(holder.kind, holder.held.len()),
     });
-    Fleet::new(Arc::new(engine.clone()), nodes.collect())
+    Fleet::new(Arc::new(model.clone()), nodes.collect())
 }
--- a/crates/core/tests/support/servers.rs
+++ b/crates/core/tests/support/servers.rs
@@ -5,7 +5,7 @@
 use jujube_core::layer::Range;
 use jujube_core::layer::gaps;
 use jujube_core::pipeline::assignment::Assignments;
-use jujube_core::pipeline::engine::Engine;
+use jujube_core::pipeline::model::Model;
 use jujube_core::pipeline::placement::Handover;
 use jujube_core::pipeline::placement::Holder;
 use jujube_core::pipeline::placement::Order;
@@ -16,8 +16,8 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-use super::pipeline::engine;
 use super::pipeline::holders;
+use super::pipeline::model;
 
 /// How long one step of the simulation takes.
 pub const STEP_MS: u64 = 50;
@@ -78,7 +78,7 @@
 /// The servers of a model.
 #[derive(Clone, Debug)]
 pub struct Servers {
-    engine: Engine,
+    model: Model,
     all: Vec<Server>,
     /// How many requests were broken off.
     pub broken_off: usize,
@@ -87,11 +87,7 @@
 impl Servers {
     /// Tells whether requests can pass through the whole model.
     pub fn carries(&self) -> bool {
-        gaps(
-            self.engine.layers,
-            self.all.iter().map(|server| server.held),
-        )
-        .is_empty()
+        gaps(self.model.layers, self.all.iter().map(|server| server.held)).is_empty()
     }
 
     fn step(&mut self, now: u64) {
@@ -100,7 +96,7 @@
             .iter()
             .filter(|s| s.moving.is_some() && !s.is_waiting())
             .count();
-        let rate = (f64::from(self.engine.loads_at_once) / loading.max(1) as f64).min(1.0);
+        let rate = (f64::from(self.model.loads_at_once) / loading.max(1) as f64).min(1.0);
         for server in &mut self.all {
             server.passing.retain(|passing| passing.ends > now);
             if server.is_waiting() {
@@ -119,7 +115,7 @@
 
     /// Gives a server an order; `false` when it refuses.
     fn order(&mut self, order: &Order) -> bool {
-        let per_layer_ms = self.engine.load_seconds * 1e3 / f64::from(self.engine.layers);
+        let per_layer_ms = self.model.load_seconds * 1e3 / f64::from(self.model.layers);
         let found = self
             .all
             .iter_mut()
@@ -159,21 +155,21 @@
 impl Site {
     /// Draws servers that hold, wait and run anything.
     pub fn draw(random: &mut StdRng, load_seconds: f64) -> Self {
-        let engine = Engine {
+        let model = Model {
             load_seconds,
-            ..engine()
+            ..model()
         };
         let mut all = holders("a", &[("a100", 1), ("l40s", 3), ("l4", 4)]);
         all.extend(holders("b", &[("a100", 1), ("l40s", 2), ("l4", 5)]));
         for holder in &mut all {
-            let most = engine.fits(holder.kind, 0.9);
+            let most = model.fits(holder.kind, 0.9);
             let count = random.random_range(0..=most);
-            let start = random.random_range(0..=engine.layers - count);
+            let start = random.random_range(0..=model.layers - count);
             if count > 0 {
                 holder.held = Range::new(start, start + count);
             }
         }
-        let mut site = Self::of(engine, all, random);
+        let mut site = Self::of(model, all, random);
         for server in &mut site.servers.all {
             if random.random_bool(0.15) {
                 // It carries out an order of a planner that nobody remembers.
@@ -188,7 +184,7 @@
         site
     }
 
-    fn of(engine: Engine, all: Vec<Holder>, random: &mut StdRng) -> Self {
+    fn of(model: Model, all: Vec<Holder>, random: &mut StdRng) -> Self {
         let mut servers = Vec::new();
         for holder in all {
             let mut passing = Vec::new();
@@ -211,7 +207,7 @@
         }
         Self {
             servers: Servers {
-                engine,
+                model,
                 all: servers,
                 broken_off: 0,
             },
@@ -239,14 +235,14 @@
     /// memory is loaded for each, at the rate that all share. Where that takes longer than a look, a path may stand for a
     /// moment meanwhile, and orders given then wait for requests.
     pub fn bound_ms(&self) -> u64 {
-        let engine = &self.servers.engine;
+        let model = &self.servers.model;
         let fits = self
             .servers
             .all
             .iter()
-            .map(|s| engine.fits(s.holder.kind, 1.0));
-        let layers = f64::from(fits.sum::<u32>()) / f64::from(engine.layers);
-        let all_ms = (engine.load_seconds * 1e3 * layers / f64::from(engine.loads_at_once)) as u64;
+            .map(|s| model.fits(s.holder.kind, 1.0));
+        let layers = f64::from(fits.sum::<u32>()) / f64::from(model.layers);
+        let all_ms = (model.load_seconds * 1e3 * layers / f64::from(model.loads_at_once)) as u64;
         let waits = if all_ms > LOOK_MS { RUNS_MS } else { 0 };
         2 * (LAG_MS + LOOK_MS + all_ms) + SHOWN_MS + waits
     }
@@ -277,9 +273,9 @@
             let carried = known[name];
             let requests = server.passing.iter().filter(|p| p.is_known).count() as u64;
             let order = self.orders.get(name);
-            let engine = &self.servers.engine;
+            let model = &self.servers.model;
             let loads = self.orders.len();
-            let phase = order.map(|o| o.phase(Instant(now), requests, engine, loads));
+            let phase = order.map(|o| o.phase(Instant(now), requests, model, loads));
             Holder {
                 held: order.map_or(carried, |order| order.layers),
                 carried,
@@ -289,7 +285,7 @@
             }
         });
         let holders: Vec<Holder> = holders.collect();
-        for order in plan(&self.servers.engine, &holders) {
+        for order in plan(&self.servers.model, &holders) {
             let known = known[&order.server];
             if self.orders.give(Instant(now), &order, known) {
                 self.to_give.insert(order.server.clone(), (now, order));
--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -17,23 +17,22 @@
 /// Returns the fleets of all models in a configuration.
 pub fn build(table: &Table, roster: &Roster) -> BTreeMap<Service, Rc<Fleet>> {
     let services = table.document.services.iter();
-    let models =
-        services.filter_map(|(service, backend)| Some((service, backend.engine.as_ref()?)));
-    let fleets = models.map(|(service, engine)| {
+    let models = services.filter_map(|(service, backend)| Some((service, backend.model.as_ref()?)));
+    let fleets = models.map(|(service, model)| {
         let servers = roster.usable().filter(|server| server.service == *service);
-        let holding = servers.filter(|server| !server.held.is_empty() && engine.has(server.held));
+        let holding = servers.filter(|server| !server.held.is_empty() && model.has(server.held));
         let nodes = holding.filter_map(|server| {
-            let kind = engine.kind(server.accelerator.as_ref())?;
+            let kind = model.kind(server.accelerator.as_ref())?;
             Some(Node {
                 server: server.incarnation.clone(),
                 address: server.address,
                 zone: server.zone.clone(),
                 held: server.held,
                 kind,
-                room: engine.room(kind, server.held.len()),
+                room: model.room(kind, server.held.len()),
             })
         });
-        let fleet = Fleet::new(engine.clone(), nodes.collect());
+        let fleet = Fleet::new(model.clone(), nodes.collect());
         (service.clone(), Rc::new(fleet))
     });
     fleets.collect()
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -10,7 +10,7 @@
 use jujube_core::fence::Holder as Lead;
 use jujube_core::name::Service;
 use jujube_core::pipeline::assignment::Assignments;
-use jujube_core::pipeline::engine::Engine;
+use jujube_core::pipeline::model::Model;
 use jujube_core::pipeline::placement;
 use jujube_core::pipeline::placement::Holder;
 use jujube_core::pipeline::placement::Phase as Work;
@@ -251,10 +251,10 @@
             return;
         };
         for (service, backend) in &table.document.services {
-            let Some(engine) = &backend.engine else {
+            let Some(model) = &backend.model else {
                 continue;
             };
-            let holders = self.holders(service, engine);
+            let holders = self.holders(service, model);
             let is_first = holders.iter().all(|holder| holder.held.is_empty());
             if is_first && !is_settled {
                 continue;
@@ -266,13 +266,13 @@
             if last.is_some_and(|last| is_same_to_plan(&last, &holders)) {
                 continue;
             }
-            for order in placement::plan(engine, &holders) {
+            for order in placement::plan(model, &holders) {
                 self.give(order);
             }
         }
     }
 
-    fn holders(&self, service: &Service, engine: &Engine) -> Vec<Holder> {
+    fn holders(&self, service: &Service, model: &Model) -> Vec<Holder> {
         let roster = self.state.roster.borrow();
         let mut orders = self.orders.borrow_mut();
         let load = self.state.load.borrow();
@@ -283,14 +283,14 @@
         }
         self.state.ordered.replace(orders.accepted());
         let servers = roster.usable().filter(|server| server.service == *service);
-        let servers = servers.filter(|server| engine.has(server.held));
+        let servers = servers.filter(|server| model.has(server.held));
         let holders = servers.filter_map(|server| {
-            let kind = engine.kind(server.accelerator.as_ref())?;
+            let kind = model.kind(server.accelerator.as_ref())?;
             let order = orders.get(&server.incarnation);
             let requests = load.requests(&server.incarnation);
             let age = roster.age(now, &server.incarnation).unwrap_or_default();
             let phase = match order {
-                Some(order) => order.phase(now, requests, engine, orders.len()),
+                Some(order) => order.phase(now, requests, model, orders.len()),
                 None if server.held.is_empty() && age < JOINING => Work::Joining,
                 None => Work::Settled,
             };
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -97,7 +97,7 @@
     state.retries.request(&admitted.service);
     let is_model = state
         .table()
-        .is_some_and(|table| table.engine(&admitted.service).is_some());
+        .is_some_and(|table| table.model(&admitted.service).is_some());
     if is_model {
         return stream::serve(state, admitted, guard).await;
     }
--- a/crates/front/src/stream/booking.rs
+++ b/crates/front/src/stream/booking.rs
@@ -159,7 +159,7 @@
     };
     let (chosen, fleet, need) =
         choose_with(state, &stream.service, avoid, crowd, |fleet, view| {
-            let need = stream.need(fleet.engine.tokens_per_event);
+            let need = stream.need(fleet.model.tokens_per_event);
             let chosen = match cause {
                 Cause::Leaving => fleet.leave(need, view, old, may_reopen),
                 Cause::Dead | Cause::Slow => fleet.go_on(need, view, old, may_reopen),
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -235,7 +235,7 @@
     let crowd = left.as_ref().map_or(1.0, backlog);
     let (choice, fleet, need) =
         choose_with(state, &stream.service, avoid, crowd, |fleet, view| {
-            let need = stream.need(fleet.engine.tokens_per_event);
+            let need = stream.need(fleet.model.tokens_per_event);
             (fleet.choose(need, view), fleet.clone(), need)
         })?;
     let choice = choice.filter(|choice| !choice.is_forced())?;
