--- a/crates/core/src/pipeline/assignment.rs
+++ b/crates/core/src/pipeline/assignment.rs
@@ -56,7 +56,7 @@
 fn due(model: &Model, layers: Range, loads: usize) -> Span {
     const MILLISECONDS: f64 = 1e3;
     let share = f64::from(layers.len()) / f64::from(model.layers.max(1));
-    let queue = match model.loads_at_once {
+    let queue = match model.concurrent_loads {
         0 => 1.0,
         at_once => (loads as f64 / f64::from(at_once)).max(1.0),
     };
--- a/crates/core/src/pipeline/chooser/mod.rs
+++ b/crates/core/src/pipeline/chooser/mod.rs
@@ -17,8 +17,8 @@
 use crate::layer::Range;
 use crate::name::Zone;
 use crate::pipeline::load::Load;
-use crate::pipeline::model::Kind;
 use crate::pipeline::model::Model;
+use crate::pipeline::model::Profile;
 use crate::pipeline::outlier::Outliers;
 use crate::pipeline::path::Path;
 use crate::pipeline::server::Incarnation;
@@ -37,7 +37,7 @@
     /// The layers that it holds.
     pub held: Range,
     /// Its accelerator.
-    pub kind: Kind,
+    pub profile: Profile,
     /// Its room for requests, in tokens times layers.
     pub room: f64,
 }
@@ -307,7 +307,9 @@
             };
             let requests = load.requests(&part.server);
             let held = part.layers.len();
-            let read_ms = self.model.read_ms(node.kind, held, need.prompt, requests);
+            let read_ms = self
+                .model
+                .prefill_ms(node.profile, held, need.prompt, requests);
             load.backlog.add(now, &part.server, read_ms * crowd);
         }
     }
--- a/crates/core/src/pipeline/chooser/walk.rs
+++ b/crates/core/src/pipeline/chooser/search.rs
@@ -81,13 +81,16 @@
         let is_full = view.load.refusals.holds(view.now, &node.server);
         let room = if is_full { 0.0 } else { node.room * USABLE };
         let full = if room > 0.0 { used / room } else { 1.0 };
-        let read_ms = need.prompt / model.read_per_second.max(1.0) * 1e3 * node.kind.read_pace;
-        let write_ms = need.answer * model.step_ms * node.kind.pace;
+        let read_ms = need.prompt / model.prefill_tokens_per_second.max(1.0)
+            * 1e3
+            * node.profile.prefill_factor;
+        let write_ms = need.answer * model.step_ms * node.profile.step_factor;
         let slowness = view.load.slowness(view.now, &node.server);
         let requests = view.load.requests(&node.server);
         let share = f64::from(node.held.len()) / layers;
-        let usual_read_ms =
-            model.usual_prompt / model.read_per_second.max(1.0) * 1e3 * node.kind.read_pace;
+        let usual_read_ms = model.mean_prompt_tokens / model.prefill_tokens_per_second.max(1.0)
+            * 1e3
+            * node.profile.prefill_factor;
         let reading = (requests as f64 * usual_read_ms * share / LASTS_MS).min(MOST_READING);
         let busy = model.batch_factor(requests) / (1.0 - reading);
         let crowded = busy * (1.0 + CROWDING * full.powi(4)) * slowness;
@@ -95,7 +98,7 @@
             node,
             per_layer_ms: (read_ms + write_ms) / layers * crowded,
             once_ms: view.penalty_ms(&node.server),
-            read_layer_ms: model.read_ms(node.kind, 1, need.prompt, requests) * slowness,
+            read_layer_ms: model.prefill_ms(node.profile, 1, need.prompt, requests) * slowness,
             wait_ms: view.load.backlog.wait_ms(view.now, &node.server),
             ahead: view.ahead(&node.zone),
             left: room - used,
--- a/crates/core/src/pipeline/placement/close.rs
+++ b/crates/core/src/pipeline/placement/close.rs
@@ -86,7 +86,7 @@
         offer(layers, added, ADDING);
     }
     if is_spare(model, group, index) {
-        let count = beside(model, holder.kind, room).min(gap.len());
+        let count = beside(model, holder.profile, room).min(gap.len());
         let harm = MOVING + holder.requests as f64;
         offer(Range::new(gap.start, gap.start + count), count, harm);
         offer(Range::new(gap.end - count, gap.end), count, harm);
@@ -96,9 +96,9 @@
 
 /// Returns the most layers that a server holds beside room for the requests that pass through it.
 fn most(model: &Model, holder: &Holder, room: f64) -> u32 {
-    let usual = model.usual_prompt + model.usual_answer;
+    let usual = model.mean_prompt_tokens + model.mean_answer_tokens;
     let used = holder.requests as f64 * usual;
-    beside(model, holder.kind, used.max(room))
+    beside(model, holder.profile, used.max(room))
 }
 
 /// Tells whether others carry every layer that a server carries.
--- a/crates/core/src/pipeline/placement/holder.rs
+++ b/crates/core/src/pipeline/placement/holder.rs
@@ -2,8 +2,8 @@
 
 use crate::layer::Range;
 use crate::name::Zone;
-use crate::pipeline::model::Kind;
 use crate::pipeline::model::Model;
+use crate::pipeline::model::Profile;
 use crate::pipeline::server::Incarnation;
 
 /// What a server is about.
@@ -31,7 +31,7 @@
     /// Its availability zone.
     pub zone: Zone,
     /// Its accelerator.
-    pub kind: Kind,
+    pub profile: Profile,
     /// The layers that it holds, or that it was last ordered to hold.
     pub held: Range,
     /// The layers that requests can pass through now; others than it is ordered to hold until its order shows.
@@ -45,11 +45,11 @@
 impl Holder {
     /// Returns a settled server through which no request passes.
     #[must_use]
-    pub fn new(server: Incarnation, zone: Zone, kind: Kind, held: Range) -> Self {
+    pub fn new(server: Incarnation, zone: Zone, profile: Profile, held: Range) -> Self {
         Self {
             server,
             zone,
-            kind,
+            profile,
             held,
             carried: held,
             requests: 0,
@@ -106,11 +106,11 @@
 pub(super) const GAP_SHARE: f64 = 0.97;
 
 /// Returns how many layers a server holds beside room for `room` tokens.
-pub(super) fn beside(model: &Model, kind: Kind, room: f64) -> u32 {
+pub(super) fn beside(model: &Model, profile: Profile, room: f64) -> u32 {
     const BYTES_PER_MB: f64 = 1e6;
-    let room_mb = room * model.token_bytes / f64::from(model.layers.max(1)) / BYTES_PER_MB;
-    let layers = kind.memory_mb / (model.layer_mb + room_mb).max(1.0);
-    (layers as u32).min(model.fits(kind, GAP_SHARE))
+    let room_mb = room * model.kv_bytes_per_token / f64::from(model.layers.max(1)) / BYTES_PER_MB;
+    let layers = profile.memory_mb / (model.layer_mb + room_mb).max(1.0);
+    (layers as u32).min(model.max_layers(profile, GAP_SHARE))
 }
 
 /// Returns the holders as they are once orders are carried out.
--- a/crates/core/src/pipeline/placement/layers.rs
+++ b/crates/core/src/pipeline/placement/layers.rs
@@ -24,7 +24,7 @@
 impl Layers {
     pub(super) fn of(model: &Model, group: &[Holder]) -> Self {
         let count = model.layers as usize;
-        let paces = model.kinds.values().map(|kind| kind.pace);
+        let paces = model.profiles.values().map(|profile| profile.step_factor);
         let mut layers = Self {
             room: vec![0.0; count],
             paced: vec![0.0; count],
@@ -40,11 +40,12 @@
         if holder.held.is_empty() {
             return;
         }
-        let each = model.room(holder.kind, holder.held.len()) / f64::from(holder.held.len());
+        let each =
+            model.kv_capacity(holder.profile, holder.held.len()) / f64::from(holder.held.len());
         let end = holder.held.end.min(self.room.len() as u32);
         for layer in holder.held.start as usize..end as usize {
             self.room[layer] += sign * each;
-            self.paced[layer] += sign * each * holder.kind.pace;
+            self.paced[layer] += sign * each * holder.profile.step_factor;
         }
     }
 
@@ -54,14 +55,14 @@
     /// The room that counts is that of the fullest layers; the power lets the others count a little,
     /// so that each of several moves that together close a gap shows as a gain.
     pub(super) fn resistance(&self) -> f64 {
-        let mut pace = 0.0;
+        let mut step_factor = 0.0;
         let mut tightness = 0.0;
         for (room, paced) in self.room.iter().zip(&self.paced) {
             let room = room.max(0.0);
-            pace += (paced + NOTHING * self.slowest) / (room + NOTHING);
+            step_factor += (paced + NOTHING * self.slowest) / (room + NOTHING);
             tightness += (room + NOTHING).recip().powi(8);
         }
-        pace * tightness.powf(1.0 / 8.0)
+        step_factor * tightness.powf(1.0 / 8.0)
     }
 }
 
--- a/crates/core/src/pipeline/placement/mend.rs
+++ b/crates/core/src/pipeline/placement/mend.rs
@@ -178,7 +178,9 @@
     let holder = &group[index];
     let mut others = Layers::of(model, group);
     others.add(model, holder, -1.0);
-    let counts = rooms.iter().map(|room| beside(model, holder.kind, *room));
+    let counts = rooms
+        .iter()
+        .map(|room| beside(model, holder.profile, *room));
     let mut counts: Vec<u32> = counts.collect();
     counts.retain(|count| *count > 0);
     counts.dedup();
--- a/crates/core/src/pipeline/placement/mod.rs
+++ b/crates/core/src/pipeline/placement/mod.rs
@@ -66,7 +66,9 @@
 /// A server that is ordered to hold more crashes with all requests on it.
 fn is_safe(model: &Model, holders: &[Holder], order: &Order) -> bool {
     let holder = holders.iter().find(|holder| holder.server == order.server);
-    let fits = holder.map_or(0, |holder| model.fits(holder.kind, holder::GAP_SHARE));
+    let fits = holder.map_or(0, |holder| {
+        model.max_layers(holder.profile, holder::GAP_SHARE)
+    });
     !order.layers.is_empty() && order.layers.end <= model.layers && order.layers.len() <= fits
 }
 
@@ -77,7 +79,9 @@
         zone.push(holder.clone());
     }
     let complete = |group: &[Holder]| -> bool {
-        let fits = group.iter().map(|h| model.fits(h.kind, holder::GAP_SHARE));
+        let fits = group
+            .iter()
+            .map(|h| model.max_layers(h.profile, holder::GAP_SHARE));
         fits.sum::<u32>() >= model.layers
     };
     let (whole, partial): (Vec<_>, Vec<_>) = zones.into_values().partition(|g| complete(g));
--- a/crates/core/src/pipeline/placement/rows.rs
+++ b/crates/core/src/pipeline/placement/rows.rs
@@ -38,7 +38,7 @@
 pub(super) fn scratch(model: &Model, group: &[Holder]) -> Vec<Order> {
     let mut left = group.to_vec();
     left.sort_by(|a, b| {
-        let by_pace = a.kind.pace.total_cmp(&b.kind.pace);
+        let by_pace = a.profile.step_factor.total_cmp(&b.profile.step_factor);
         by_pace.then_with(|| a.server.cmp(&b.server))
     });
     let mut orders: Vec<Order> = Vec::new();
@@ -65,7 +65,7 @@
 
 /// Tells whether servers hold all layers with room for `room` tokens at each.
 pub(super) fn holds(model: &Model, holders: &[Holder], room: f64) -> bool {
-    let layers = holders.iter().map(|h| beside(model, h.kind, room));
+    let layers = holders.iter().map(|h| beside(model, h.profile, room));
     layers.sum::<u32>() >= model.layers
 }
 
@@ -94,7 +94,7 @@
     let mut start = 0;
     let mut orders = Vec::new();
     for holder in holders {
-        let count = beside(model, holder.kind, room).min(model.layers - start);
+        let count = beside(model, holder.profile, room).min(model.layers - start);
         if count == 0 {
             continue;
         }
--- a/crates/core/tests/closing.rs
+++ b/crates/core/tests/closing.rs
@@ -15,14 +15,14 @@
 use jujube_core::pipeline::placement::plan;
 
 use pipeline::carried_out;
-use pipeline::kind;
 use pipeline::model;
+use pipeline::profile;
 
 fn holder(name: &str, accelerator: &str, layers: (u32, u32), requests: u64) -> Holder {
     let held = Range::new(layers.0, layers.1);
     Holder {
         requests,
-        ..Holder::new(name.into(), "a".into(), kind(accelerator), held)
+        ..Holder::new(name.into(), "a".into(), profile(accelerator), held)
     }
 }
 
--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -98,7 +98,7 @@
             .find(|n| n.server == part.server)
             .unwrap();
         let model = &fleet.model;
-        let read_ms = model.read_ms(node.kind, part.layers.len(), NEED.prompt, 0);
+        let read_ms = model.prefill_ms(node.profile, part.layers.len(), NEED.prompt, 0);
         *reading.entry(part.server.clone()).or_default() += read_ms;
     }
 }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -35,8 +35,8 @@
 use pipeline::carried_out;
 use pipeline::fleet;
 use pipeline::holders;
-use pipeline::kind;
 use pipeline::model;
+use pipeline::profile;
 use pipeline::region;
 
 const NEED: Need = Need {
@@ -309,7 +309,12 @@
         rows.map(|(index, (name, start, count))| {
             let server = format!("s{index}").as_str().into();
             let held = Range::new(start, (start + count).min(6));
-            Holder::new(server, "a".into(), kind(["a100", "l40s", "l4"][name]), held)
+            Holder::new(
+                server,
+                "a".into(),
+                profile(["a100", "l40s", "l4"][name]),
+                held,
+            )
         })
         .collect()
     })
@@ -334,8 +339,8 @@
         let home: Zone = "a".into();
         let layers = 6.0;
         let costs: BTreeMap<usize, f64> = fleet.nodes.iter().enumerate().map(|(index, node)| {
-            let read = NEED.prompt / model.read_per_second * 1e3 * node.kind.read_pace;
-            let write = NEED.answer * model.step_ms * node.kind.pace;
+            let read = NEED.prompt / model.prefill_tokens_per_second * 1e3 * node.profile.prefill_factor;
+            let write = NEED.answer * model.step_ms * node.profile.step_factor;
             (index, (read + write) / layers)
         }).collect();
 
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -17,8 +17,8 @@
 
 use pipeline::carried_out;
 use pipeline::holders;
-use pipeline::kind;
 use pipeline::model;
+use pipeline::profile;
 use pipeline::region;
 
 /// What a zone carries of a calm day, in tokens.
@@ -39,8 +39,8 @@
     holders
 }
 
-fn fits(model: &Model, holder: &Holder) -> bool {
-    f64::from(holder.held.len()) * model.layer_mb <= holder.kind.memory_mb
+fn fits_memory(model: &Model, holder: &Holder) -> bool {
+    f64::from(holder.held.len()) * model.layer_mb <= holder.profile.memory_mb
 }
 
 #[test]
@@ -117,7 +117,7 @@
 fn a_server_that_joins_gets_layers_and_moves_nobody() {
     let model = model();
     let mut holders = settled(&model, &region());
-    let joined = Holder::new("new".into(), "b".into(), kind("l4"), Range::default());
+    let joined = Holder::new("new".into(), "b".into(), profile("l4"), Range::default());
     holders.push(joined);
 
     let orders = plan(&model, &holders);
@@ -135,8 +135,8 @@
     let mut model = model();
     model.layers = 8;
     let mut left = holders("a", &[("l4", 2)]);
-    left[0].kind.memory_mb = 5.0 * model.layer_mb / 0.97;
-    left[1].kind = left[0].kind;
+    left[0].profile.memory_mb = 5.0 * model.layer_mb / 0.97;
+    left[1].profile = left[0].profile;
     left[0].held = Range::new(0, 3);
     left[1].held = Range::new(3, 7);
 
@@ -155,7 +155,7 @@
     let mut holders = settled(&model, &region());
     let leaver = zone(&holders, "b")
         .into_iter()
-        .find(|h| h.kind == kind("l40s"))
+        .find(|h| h.profile == profile("l40s"))
         .unwrap();
     holders.push(Holder {
         server: "new".into(),
@@ -187,7 +187,7 @@
     }
     let dead = holders
         .iter()
-        .position(|h| &*h.zone.0 == "b" && h.kind == kind("l40s"));
+        .position(|h| &*h.zone.0 == "b" && h.profile == profile("l40s"));
     holders.remove(dead.unwrap());
 
     assert_eq!(plan(&model, &holders), []);
@@ -221,7 +221,7 @@
             let server = format!("s{index}").as_str().into();
             let zone = ["a", "b", "c"][zone].into();
             let held = Range::new(start, (start + count).min(80));
-            Holder::new(server, zone, kind(["a100", "l40s", "l4"][name]), held)
+            Holder::new(server, zone, profile(["a100", "l40s", "l4"][name]), held)
         })
         .collect()
     })
@@ -241,7 +241,7 @@
         let model = model();
         let placed = carried_out(&holders, &plan(&model, &holders));
         for (before, after) in holders.iter().zip(&placed) {
-            prop_assert!(before.held == after.held || fits(&model, after));
+            prop_assert!(before.held == after.held || fits_memory(&model, after));
             prop_assert!(after.held.end <= model.layers);
         }
     }
--- a/crates/core/tests/support/pipeline.rs
+++ b/crates/core/tests/support/pipeline.rs
@@ -7,22 +7,22 @@
 use jujube_core::layer::Range;
 use jujube_core::pipeline::chooser::Fleet;
 use jujube_core::pipeline::chooser::Node;
-use jujube_core::pipeline::model::Kind;
 use jujube_core::pipeline::model::Model;
+use jujube_core::pipeline::model::Profile;
 use jujube_core::pipeline::placement::Holder;
 use jujube_core::pipeline::placement::Order;
 
 /// The users' accelerators: memory in MB, pace of a token, pace of reading.
-pub fn kind(name: &str) -> Kind {
-    let (memory_mb, pace, read_pace) = match name {
+pub fn profile(name: &str) -> Profile {
+    let (memory_mb, step_factor, prefill_factor) = match name {
         "a100" => (72_000.0, 2.4, 3.2),
         "l40s" => (43_200.0, 5.6, 2.7),
         _ => (21_600.0, 16.0, 8.2),
     };
-    Kind {
+    Profile {
         memory_mb,
-        pace,
-        read_pace,
+        step_factor,
+        prefill_factor,
     }
 }
 
@@ -31,19 +31,19 @@
     Model {
         layers: 80,
         layer_mb: 1_750.0,
-        token_bytes: 918_000.0,
+        kv_bytes_per_token: 918_000.0,
         step_ms: 1.02,
-        request_ms: 0.007_14,
-        context_ms: 0.009_56,
-        read_per_second: 105_000.0,
-        chunk: 512.0,
+        step_ms_per_request: 0.007_14,
+        step_ms_per_1000_context: 0.009_56,
+        prefill_tokens_per_second: 105_000.0,
+        prefill_chunk: 512.0,
         tokens_per_event: 3.0,
         load_seconds: 14.0,
-        loads_at_once: 5,
-        usual_prompt: 774.0,
-        usual_answer: 200.0,
-        kinds: ["a100", "l40s", "l4"]
-            .map(|name| (name.into(), kind(name)))
+        concurrent_loads: 5,
+        mean_prompt_tokens: 774.0,
+        mean_answer_tokens: 200.0,
+        profiles: ["a100", "l40s", "l4"]
+            .map(|name| (name.into(), profile(name)))
             .into(),
     }
 }
@@ -57,7 +57,7 @@
             holders.push(Holder::new(
                 server,
                 zone.into(),
-                kind(name),
+                profile(name),
                 Range::default(),
             ));
         }
@@ -93,8 +93,8 @@
         address: ([10, 0, 0, index as u8], 8000).into(),
         zone: holder.zone.clone(),
         held: holder.held,
-        kind: holder.kind,
-        room: model.room(holder.kind, holder.held.len()),
+        profile: holder.profile,
+        room: model.kv_capacity(holder.profile, holder.held.len()),
     });
     Fleet::new(Arc::new(model.clone()), nodes.collect())
 }
--- a/crates/core/tests/support/servers.rs
+++ b/crates/core/tests/support/servers.rs
@@ -96,7 +96,7 @@
             .iter()
             .filter(|s| s.moving.is_some() && !s.is_waiting())
             .count();
-        let rate = (f64::from(self.model.loads_at_once) / loading.max(1) as f64).min(1.0);
+        let rate = (f64::from(self.model.concurrent_loads) / loading.max(1) as f64).min(1.0);
         for server in &mut self.all {
             server.passing.retain(|passing| passing.ends > now);
             if server.is_waiting() {
@@ -162,7 +162,7 @@
         let mut all = holders("a", &[("a100", 1), ("l40s", 3), ("l4", 4)]);
         all.extend(holders("b", &[("a100", 1), ("l40s", 2), ("l4", 5)]));
         for holder in &mut all {
-            let most = model.fits(holder.kind, 0.9);
+            let most = model.max_layers(holder.profile, 0.9);
             let count = random.random_range(0..=most);
             let start = random.random_range(0..=model.layers - count);
             if count > 0 {
@@ -240,9 +240,9 @@
             .servers
             .all
             .iter()
-            .map(|s| model.fits(s.holder.kind, 1.0));
+            .map(|s| model.max_layers(s.holder.profile, 1.0));
         let layers = f64::from(fits.sum::<u32>()) / f64::from(model.layers);
-        let all_ms = (model.load_seconds * 1e3 * layers / f64::from(model.loads_at_once)) as u64;
+        let all_ms = (model.load_seconds * 1e3 * layers / f64::from(model.concurrent_loads)) as u64;
         let waits = if all_ms > LOOK_MS { RUNS_MS } else { 0 };
         2 * (LAG_MS + LOOK_MS + all_ms) + SHOWN_MS + waits
     }
--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -20,16 +20,17 @@
     let models = services.filter_map(|(service, backend)| Some((service, backend.model.as_ref()?)));
     let fleets = models.map(|(service, model)| {
         let servers = roster.usable().filter(|server| server.service == *service);
-        let holding = servers.filter(|server| !server.held.is_empty() && model.has(server.held));
+        let holding =
+            servers.filter(|server| !server.held.is_empty() && model.contains(server.held));
         let nodes = holding.filter_map(|server| {
-            let kind = model.kind(server.accelerator.as_ref())?;
+            let profile = model.profile(server.accelerator.as_ref())?;
             Some(Node {
                 server: server.incarnation.clone(),
                 address: server.address,
                 zone: server.zone.clone(),
                 held: server.held,
-                kind,
-                room: model.room(kind, server.held.len()),
+                profile,
+                room: model.kv_capacity(profile, server.held.len()),
             })
         });
         let fleet = Fleet::new(model.clone(), nodes.collect());
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -283,9 +283,9 @@
         }
         self.state.ordered.replace(orders.accepted());
         let servers = roster.usable().filter(|server| server.service == *service);
-        let servers = servers.filter(|server| model.has(server.held));
+        let servers = servers.filter(|server| model.contains(server.held));
         let holders = servers.filter_map(|server| {
-            let kind = model.kind(server.accelerator.as_ref())?;
+            let profile = model.profile(server.accelerator.as_ref())?;
             let order = orders.get(&server.incarnation);
             let requests = load.requests(&server.incarnation);
             let age = roster.age(now, &server.incarnation).unwrap_or_default();
@@ -297,7 +297,7 @@
             Some(Holder {
                 server: server.incarnation.clone(),
                 zone: server.zone.clone(),
-                kind,
+                profile,
                 held: order.map_or(server.held, |order| order.layers),
                 carried: server.held,
                 requests,
