--- a/crates/core/src/pipeline/backlog.rs
+++ b/crates/core/src/pipeline/backlog.rs
@@ -12,7 +12,7 @@
 const LOSS: Span = Span(1_000);
 /// The most streams that one moved stream of this entry stands for: a bound on a figure that rests on
 /// other entries' word.
-const MOST_CROWD: f64 = 64.0;
+const MAX_HERD_SIZE: f64 = 64.0;
 
 /// How long servers are busy with reading what they were given.
 ///
@@ -61,18 +61,18 @@
     /// They choose by the same figures, so each takes it that the others do what it does.
     pub fn lost(&mut self, now: Instant, server: &Incarnation, own: u64, all: u64) {
         self.lost.retain(|_, (at, _)| now.since(*at) <= LOSS);
-        let crowd = all as f64 / own.max(1) as f64;
-        let crowd = crowd.clamp(1.0, MOST_CROWD);
-        self.lost.insert(server.clone(), (now, crowd));
+        let herd_size = all as f64 / own.max(1) as f64;
+        let herd_size = herd_size.clamp(1.0, MAX_HERD_SIZE);
+        self.lost.insert(server.clone(), (now, herd_size));
     }
 
     /// Returns how many streams one that leaves this path stands for; 1 when none of its servers was
     /// lost just now.
     #[must_use]
-    pub fn crowd(&self, now: Instant, path: &Path) -> f64 {
+    pub fn herd_size(&self, now: Instant, path: &Path) -> f64 {
         let lost = path.parts().iter().filter_map(|part| {
-            let (at, crowd) = self.lost.get(&part.server)?;
-            (now.since(*at) <= LOSS).then_some(*crowd)
+            let (at, herd_size) = self.lost.get(&part.server)?;
+            (now.since(*at) <= LOSS).then_some(*herd_size)
         });
         lost.fold(1.0, f64::max)
     }
--- a/crates/core/src/pipeline/chooser/mod.rs
+++ b/crates/core/src/pipeline/chooser/mod.rs
@@ -4,7 +4,7 @@
 //! where held ranges begin and end. The choice is the walk that is predicted to end soonest, found
 //! by dynamic programming over these positions.
 
-mod walk;
+mod search;
 
 use std::collections::BTreeSet;
 use std::hash::DefaultHasher;
@@ -27,7 +27,7 @@
 
 /// A backend server as the choice sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Node {
+pub struct Candidate {
     /// Its name.
     pub server: Incarnation,
     /// Where it listens.
@@ -39,23 +39,23 @@
     /// Its accelerator.
     pub profile: Profile,
     /// Its room for requests, in tokens times layers.
-    pub room: f64,
+    pub kv_capacity: f64,
 }
 
 /// What a request needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Need {
+pub struct Demand {
     /// Tokens of the prompt.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// Tokens of the answer, as estimated.
-    pub answer: f64,
+    pub answer_tokens: f64,
 }
 
-impl Need {
+impl Demand {
     /// Returns the tokens to keep in memory by the end.
     #[must_use]
     pub fn tokens(&self) -> f64 {
-        self.prompt + self.answer
+        self.prompt_tokens + self.answer_tokens
     }
 }
 
@@ -65,7 +65,7 @@
     /// The model.
     pub model: Arc<Model>,
     /// Its servers that hold layers.
-    pub nodes: Vec<Node>,
+    pub candidates: Vec<Candidate>,
     zones: BTreeSet<Zone>,
 }
 
@@ -89,7 +89,7 @@
 
 /// What the choice may look at besides the fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct View<'a> {
+pub struct Context<'a> {
     /// The time.
     pub now: Instant,
     /// What is in flight.
@@ -101,23 +101,23 @@
     /// Who refused this request.
     pub avoid: &'a [Incarnation],
     /// The entry's availability zone.
-    pub home: &'a Zone,
+    pub local_zone: &'a Zone,
     /// How many requests of all entries this one stands for; they choose at the same moment.
-    pub crowd: f64,
+    pub herd_size: f64,
     /// A random number, drawn anew for each choice.
-    pub draw: u64,
+    pub random: u64,
 }
 
-impl View<'_> {
+impl Context<'_> {
     /// Returns how many of a crowd are taken to be ahead in an availability zone.
     ///
     /// Entries that choose at the same moment by the same figures would all choose alike. Each takes
     /// a random place in the crowd of each zone, so that together they spread as if one chose for all.
     fn ahead(&self, zone: &Zone) -> f64 {
         let mut hasher = DefaultHasher::new();
-        (self.draw, zone).hash(&mut hasher);
+        (self.random, zone).hash(&mut hasher);
         let share = hasher.finish() as f64 / u64::MAX as f64;
-        share * (self.crowd - 1.0)
+        share * (self.herd_size - 1.0)
     }
 
     /// Returns what a server's record costs a request, in milliseconds.
@@ -145,7 +145,7 @@
     pub cost_ms: f64,
     /// How soon the parts that must read the request's tokens are predicted to have done so, in
     /// milliseconds: the time to the next event.
-    pub ready_ms: f64,
+    pub first_event_ms: f64,
 }
 
 /// How a request goes on after a part of its path was lost.
@@ -160,13 +160,13 @@
 impl Choice {
     /// Tells whether the path goes through a server that has no room.
     #[must_use]
-    pub fn lacks_room(&self) -> bool {
+    pub fn lacks_capacity(&self) -> bool {
         self.cost_ms >= NO_ROOM_MS
     }
 
     /// Tells whether the path goes through a suspected server.
     #[must_use]
-    pub fn is_forced(&self) -> bool {
+    pub fn is_last_resort(&self) -> bool {
         self.cost_ms >= SUSPECT_MS
     }
 }
@@ -174,38 +174,47 @@
 impl Fleet {
     /// Returns the fleet of a model.
     #[must_use]
-    pub fn new(model: Arc<Model>, nodes: Vec<Node>) -> Self {
-        let zones = nodes.iter().map(|node| node.zone.clone()).collect();
+    pub fn new(model: Arc<Model>, candidates: Vec<Candidate>) -> Self {
+        let zones = candidates
+            .iter()
+            .map(|candidate| candidate.zone.clone())
+            .collect();
         Self {
             model,
-            nodes,
+            candidates,
             zones,
         }
     }
 
     /// Returns the layers that no server holds, in order.
     #[must_use]
-    pub fn missing(&self) -> Vec<Range> {
-        layer::gaps(self.model.layers, self.nodes.iter().map(|node| node.held))
+    pub fn uncovered_layers(&self) -> Vec<Range> {
+        layer::gaps(
+            self.model.layers,
+            self.candidates.iter().map(|candidate| candidate.held),
+        )
     }
 
     /// Tells whether every layer has a holder.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
-        self.missing().is_empty()
+    pub fn is_complete(&self) -> bool {
+        self.uncovered_layers().is_empty()
     }
 
     /// Chooses the path that is predicted to end soonest.
     ///
     /// Paths inside one availability zone come first: activations between zones share one pipe.
-    pub fn choose(&self, need: Need, view: &View<'_>) -> Option<Choice> {
+    pub fn choose(&self, demand: Demand, context: &Context<'_>) -> Option<Choice> {
         let mut best: Option<Choice> = None;
         for zone in &self.zones {
-            let nodes = self.nodes.iter().filter(|node| node.zone == *zone);
-            let Some(mut choice) = self.walk(nodes, need, view, None) else {
+            let candidates = self
+                .candidates
+                .iter()
+                .filter(|candidate| candidate.zone == *zone);
+            let Some(mut choice) = self.search(candidates, demand, context, None) else {
                 continue;
             };
-            if zone != view.home {
+            if zone != context.local_zone {
                 choice.cost_ms += AWAY_MS;
             }
             if best
@@ -215,10 +224,10 @@
                 best = Some(choice);
             }
         }
-        if best.as_ref().is_some_and(|best| !best.is_forced()) {
+        if best.as_ref().is_some_and(|best| !best.is_last_resort()) {
             return best;
         }
-        let across = self.walk(self.nodes.iter(), need, view, None);
+        let across = self.search(self.candidates.iter(), demand, context, None);
         match (best, across) {
             (Some(best), Some(across)) if across.cost_ms < best.cost_ms => Some(across),
             (None, across) => across,
@@ -230,17 +239,23 @@
     ///
     /// The first part stays as it is: the engine there holds the stream. Parts that stay keep what
     /// they have read, the others read all tokens again.
-    pub fn repair(&self, need: Need, view: &View<'_>, old: &Path) -> Option<Choice> {
+    pub fn repair(&self, demand: Demand, context: &Context<'_>, old: &Path) -> Option<Choice> {
         let first = old.first()?;
-        let zone = self.nodes.iter().find(|node| node.server == first.server);
-        let zone = zone.map(|node| &node.zone)?;
-        let near = self.nodes.iter().filter(|node| node.zone == *zone);
-        let near = self.walk(near, need, view, Some(old));
-        if near.as_ref().is_some_and(|choice| !choice.is_forced()) {
+        let zone = self
+            .candidates
+            .iter()
+            .find(|candidate| candidate.server == first.server);
+        let zone = zone.map(|candidate| &candidate.zone)?;
+        let near = self
+            .candidates
+            .iter()
+            .filter(|candidate| candidate.zone == *zone);
+        let near = self.search(near, demand, context, Some(old));
+        if near.as_ref().is_some_and(|choice| !choice.is_last_resort()) {
             return near;
         }
-        let across = self.walk(self.nodes.iter(), need, view, Some(old));
-        across.filter(|choice| !choice.is_forced())
+        let across = self.search(self.candidates.iter(), demand, context, Some(old));
+        across.filter(|choice| !choice.is_last_resort())
     }
 
     /// Chooses how a request goes on whose path `old` has lost a part other than the first.
@@ -248,18 +263,18 @@
     /// Whichever way the next event comes sooner is taken: the stand-in of a dead part reads the tokens
     /// of all requests that it takes over one after the other, and opening some of them elsewhere is
     /// quicker than to queue there.
-    pub fn go_on(
+    pub fn recover(
         &self,
-        need: Need,
-        view: &View<'_>,
+        demand: Demand,
+        context: &Context<'_>,
         old: &Path,
         may_reopen: bool,
     ) -> Option<Continuation> {
-        let repair = self.repair(need, view, old)?;
-        let may_reopen = may_reopen && repair.ready_ms > SOON_MS;
-        let reopen = may_reopen.then(|| self.choose(need, view)).flatten();
-        let reopen = reopen.filter(|choice| !choice.is_forced() && !choice.lacks_room());
-        match reopen.filter(|choice| choice.ready_ms < repair.ready_ms) {
+        let repair = self.repair(demand, context, old)?;
+        let may_reopen = may_reopen && repair.first_event_ms > SOON_MS;
+        let reopen = may_reopen.then(|| self.choose(demand, context)).flatten();
+        let reopen = reopen.filter(|choice| !choice.is_last_resort() && !choice.lacks_capacity());
+        match reopen.filter(|choice| choice.first_event_ms < repair.first_event_ms) {
             Some(reopen) => Some(Continuation::Reopen(reopen)),
             None => Some(Continuation::Repair(repair)),
         }
@@ -270,47 +285,51 @@
     ///
     /// Left where it is, it would stall or break off when they go, together with all others there, and be
     /// late. Nothing is chosen while the servers that would have to read its tokens are busy: there is time.
-    pub fn leave(
+    pub fn evacuate(
         &self,
-        need: Need,
-        view: &View<'_>,
+        demand: Demand,
+        context: &Context<'_>,
         old: &Path,
         may_reopen: bool,
     ) -> Option<Continuation> {
         let is_gentle = |choice: &Choice| {
-            choice.ready_ms <= SOON_MS && !choice.lacks_room() && !choice.is_forced()
+            choice.first_event_ms <= SOON_MS && !choice.lacks_capacity() && !choice.is_last_resort()
         };
-        if let Some(choice) = self.repair(need, view, old) {
+        if let Some(choice) = self.repair(demand, context, old) {
             return is_gentle(&choice).then_some(Continuation::Repair(choice));
         }
-        let reopen = may_reopen.then(|| self.choose(need, view)).flatten();
+        let reopen = may_reopen.then(|| self.choose(demand, context)).flatten();
         reopen.filter(is_gentle).map(Continuation::Reopen)
     }
 
     /// Books what a request that takes `path` gives servers to read; parts of `old` have read it.
     ///
     /// `crowd` is how many requests this one stands for, see [`crate::pipeline::backlog::Backlog::crowd`].
-    pub fn book_reading(
+    pub fn record_prefill(
         &self,
         load: &mut Load,
         now: Instant,
-        need: Need,
+        demand: Demand,
         path: &Path,
         old: Option<&Path>,
-        crowd: f64,
+        herd_size: f64,
     ) {
         let parts = path.parts().iter();
         let new = parts.filter(|part| old.is_none_or(|old| !old.parts().contains(part)));
         for part in new {
-            let Some(node) = self.nodes.iter().find(|node| node.server == part.server) else {
+            let Some(candidate) = self
+                .candidates
+                .iter()
+                .find(|candidate| candidate.server == part.server)
+            else {
                 continue;
             };
             let requests = load.requests(&part.server);
             let held = part.layers.len();
-            let read_ms = self
-                .model
-                .prefill_ms(node.profile, held, need.prompt, requests);
-            load.backlog.add(now, &part.server, read_ms * crowd);
+            let read_ms =
+                self.model
+                    .prefill_ms(candidate.profile, held, demand.prompt_tokens, requests);
+            load.backlog.add(now, &part.server, read_ms * herd_size);
         }
     }
 }
--- a/crates/core/src/pipeline/chooser/search.rs
+++ b/crates/core/src/pipeline/chooser/search.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeSet;
 
+use super::Candidate;
 use super::Choice;
+use super::Context;
+use super::Demand;
 use super::Fleet;
 use super::NO_ROOM_MS;
-use super::Need;
-use super::Node;
-use super::View;
 use crate::layer::Range;
 use crate::pipeline::path::MOST_PARTS;
 use crate::pipeline::path::Part;
@@ -42,73 +42,85 @@
     ///
     /// The walk keeps one best way to each position. A server may stand in a path once only, so a
     /// step that would use one again is left out; on rare occasions that misses a better walk.
-    pub(super) fn walk<'a>(
+    pub(super) fn search<'a>(
         &self,
-        nodes: impl Iterator<Item = &'a Node>,
-        need: Need,
-        view: &View<'_>,
+        candidates: impl Iterator<Item = &'a Candidate>,
+        demand: Demand,
+        context: &Context<'_>,
         old: Option<&Path>,
     ) -> Option<Choice> {
-        let nodes: Vec<Priced<'a>> = nodes.map(|node| self.price(node, need, view)).collect();
+        let candidates: Vec<Priced<'a>> = candidates
+            .map(|candidate| self.price(candidate, demand, context))
+            .collect();
         let first = old.and_then(Path::first);
-        let positions = self.positions(&nodes, first);
+        let positions = self.positions(&candidates, first);
         let mut reached: Vec<Option<Step>> = vec![None; positions.len()];
         for to in 1..positions.len() {
             reached[to] = (0..to)
                 .filter(|from| *from == 0 || reached[*from].is_some())
-                .flat_map(|from| (0..nodes.len()).map(move |index| (from, index)))
+                .flat_map(|from| (0..candidates.len()).map(move |index| (from, index)))
                 .filter(|(from, index)| {
                     let layers = Range::new(positions[*from], positions[to]);
-                    let node = nodes[*index].node;
-                    let is_first = |f: &Part| f.server == node.server && f.layers == layers;
-                    node.held.contains(layers)
+                    let candidate = candidates[*index].candidate;
+                    let is_first = |f: &Part| f.server == candidate.server && f.layers == layers;
+                    candidate.held.contains(layers)
                         && (*from > 0 || first.is_none_or(is_first))
                         && !uses(&reached, *from, *index)
                 })
                 .map(|(from, index)| {
                     let layers = Range::new(positions[from], positions[to]);
-                    step(&reached, &nodes, old, (from, index, layers), need)
+                    step(&reached, &candidates, old, (from, index, layers), demand)
                 })
                 .min_by(|a, b| a.total_ms().total_cmp(&b.total_ms()));
         }
-        self.trace(&nodes, &positions, &reached)
+        self.trace(&candidates, &positions, &reached)
     }
 
-    fn price<'a>(&self, node: &'a Node, need: Need, view: &View<'_>) -> Priced<'a> {
+    fn price<'a>(
+        &self,
+        candidate: &'a Candidate,
+        demand: Demand,
+        context: &Context<'_>,
+    ) -> Priced<'a> {
         let model = &self.model;
         let layers = f64::from(model.layers.max(1));
-        let used = view.load.tokens(&node.server);
-        let is_full = view.load.refusals.holds(view.now, &node.server);
-        let room = if is_full { 0.0 } else { node.room * USABLE };
+        let used = context.load.tokens(&candidate.server);
+        let is_full = context.load.refusals.holds(context.now, &candidate.server);
+        let room = if is_full {
+            0.0
+        } else {
+            candidate.kv_capacity * USABLE
+        };
         let full = if room > 0.0 { used / room } else { 1.0 };
-        let read_ms = need.prompt / model.prefill_tokens_per_second.max(1.0)
+        let read_ms = demand.prompt_tokens / model.prefill_tokens_per_second.max(1.0)
             * 1e3
-            * node.profile.prefill_factor;
-        let write_ms = need.answer * model.step_ms * node.profile.step_factor;
-        let slowness = view.load.slowness(view.now, &node.server);
-        let requests = view.load.requests(&node.server);
-        let share = f64::from(node.held.len()) / layers;
+            * candidate.profile.prefill_factor;
+        let write_ms = demand.answer_tokens * model.step_ms * candidate.profile.step_factor;
+        let slowness = context.load.slowness(context.now, &candidate.server);
+        let requests = context.load.requests(&candidate.server);
+        let share = f64::from(candidate.held.len()) / layers;
         let usual_read_ms = model.mean_prompt_tokens / model.prefill_tokens_per_second.max(1.0)
             * 1e3
-            * node.profile.prefill_factor;
+            * candidate.profile.prefill_factor;
         let reading = (requests as f64 * usual_read_ms * share / LASTS_MS).min(MOST_READING);
         let busy = model.batch_factor(requests) / (1.0 - reading);
         let crowded = busy * (1.0 + CROWDING * full.powi(4)) * slowness;
         Priced {
-            node,
+            candidate,
             per_layer_ms: (read_ms + write_ms) / layers * crowded,
-            once_ms: view.penalty_ms(&node.server),
-            read_layer_ms: model.prefill_ms(node.profile, 1, need.prompt, requests) * slowness,
-            wait_ms: view.load.backlog.wait_ms(view.now, &node.server),
-            ahead: view.ahead(&node.zone),
+            once_ms: context.penalty_ms(&candidate.server),
+            read_layer_ms: model.prefill_ms(candidate.profile, 1, demand.prompt_tokens, requests)
+                * slowness,
+            wait_ms: context.load.backlog.wait_ms(context.now, &candidate.server),
+            ahead: context.ahead(&candidate.zone),
             left: room - used,
         }
     }
 
-    fn positions(&self, nodes: &[Priced<'_>], first: Option<&Part>) -> Vec<u32> {
-        let ends = nodes
+    fn positions(&self, candidates: &[Priced<'_>], first: Option<&Part>) -> Vec<u32> {
+        let ends = candidates
             .iter()
-            .flat_map(|p| [p.node.held.start, p.node.held.end]);
+            .flat_map(|p| [p.candidate.held.start, p.candidate.held.end]);
         let mut positions: BTreeSet<u32> = ends.collect();
         positions.insert(0);
         positions.insert(self.model.layers);
@@ -118,7 +130,7 @@
 
     fn trace(
         &self,
-        nodes: &[Priced<'_>],
+        candidates: &[Priced<'_>],
         positions: &[u32],
         reached: &[Option<Step>],
     ) -> Option<Choice> {
@@ -127,10 +139,10 @@
         let mut at = positions.len() - 1;
         while at > 0 {
             let step = reached[at]?;
-            let node = nodes[step.node].node;
+            let candidate = candidates[step.candidate].candidate;
             parts.push(Part {
-                server: node.server.clone(),
-                address: node.address,
+                server: candidate.server.clone(),
+                address: candidate.address,
                 layers: Range::new(positions[step.from], positions[at]),
             });
             at = step.from;
@@ -140,14 +152,14 @@
         Some(Choice {
             path,
             cost_ms: last.total_ms(),
-            ready_ms: last.wait_ms + last.read_ms,
+            first_event_ms: last.wait_ms + last.read_ms,
         })
     }
 }
 
 /// A node and what its work costs this request.
 struct Priced<'a> {
-    node: &'a Node,
+    candidate: &'a Candidate,
     per_layer_ms: f64,
     once_ms: f64,
     /// How long the request's tokens take to read, a layer.
@@ -164,7 +176,7 @@
 #[derive(Clone, Copy)]
 struct Step {
     from: usize,
-    node: usize,
+    candidate: usize,
     parts: usize,
     cost_ms: f64,
     /// How long the parts that must read the request's tokens take for it.
@@ -182,14 +194,14 @@
 
 fn step(
     reached: &[Option<Step>],
-    nodes: &[Priced<'_>],
+    candidates: &[Priced<'_>],
     old: Option<&Path>,
-    (from, node, layers): (usize, usize, Range),
-    need: Need,
+    (from, candidate, layers): (usize, usize, Range),
+    demand: Demand,
 ) -> Step {
-    let priced = &nodes[node];
+    let priced = &candidates[candidate];
     let count = f64::from(layers.len());
-    let stays = |part: &Part| part.server == priced.node.server && part.layers == layers;
+    let stays = |part: &Part| part.server == priced.candidate.server && part.layers == layers;
     let stays = old.is_some_and(|path| path.parts().iter().any(stays));
     let mut cost_ms = priced.per_layer_ms * count;
     let (mut read_ms, mut wait_ms) = (0.0, 0.0);
@@ -198,16 +210,16 @@
     } else {
         read_ms = priced.read_layer_ms * count;
         wait_ms = priced.wait_ms + priced.ahead * read_ms;
-        if need.tokens() * count > priced.left {
+        if demand.tokens() * count > priced.left {
             cost_ms += NO_ROOM_MS;
         }
     }
     cost_ms += priced.once_ms;
     let mut parts = 1;
     if let Some(before) = reached[from].filter(|_| from > 0) {
-        let same = nodes[before.node].node.zone == priced.node.zone;
+        let same = candidates[before.candidate].candidate.zone == priced.candidate.zone;
         let hop_ms = if same { HOP_MS } else { FAR_HOP_MS };
-        cost_ms += before.cost_ms + hop_ms * need.tokens();
+        cost_ms += before.cost_ms + hop_ms * demand.tokens();
         parts = before.parts + 1;
         read_ms += before.read_ms;
         wait_ms = before.wait_ms.max(wait_ms);
@@ -217,7 +229,7 @@
     }
     Step {
         from,
-        node,
+        candidate,
         parts,
         cost_ms,
         read_ms,
@@ -226,12 +238,12 @@
 }
 
 /// Tells whether the best way to a position uses a node.
-fn uses(reached: &[Option<Step>], mut at: usize, node: usize) -> bool {
+fn uses(reached: &[Option<Step>], mut at: usize, candidate: usize) -> bool {
     while at > 0 {
         let Some(step) = reached[at] else {
             return false;
         };
-        if step.node == node {
+        if step.candidate == candidate {
             return true;
         }
         at = step.from;
--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -14,10 +14,10 @@
 use std::sync::LazyLock;
 
 use jujube_core::name::Zone;
+use jujube_core::pipeline::chooser::Context;
 use jujube_core::pipeline::chooser::Continuation;
+use jujube_core::pipeline::chooser::Demand;
 use jujube_core::pipeline::chooser::Fleet;
-use jujube_core::pipeline::chooser::Need;
-use jujube_core::pipeline::chooser::View;
 use jujube_core::pipeline::load::Load;
 use jujube_core::pipeline::load::Use;
 use jujube_core::pipeline::outlier::Outliers;
@@ -39,24 +39,24 @@
 
 const ENTRIES: usize = 20;
 const STREAMS: usize = 5;
-const NEED: Need = Need {
-    prompt: 760.0,
-    answer: 200.0,
+const DEMAND: Demand = Demand {
+    prompt_tokens: 760.0,
+    answer_tokens: 200.0,
 };
 /// A little later than the loss.
 const NOW: Instant = Instant(10);
 
 /// What an entry chooses by when it is alone.
-fn view<'a>(load: &'a Load, suspicion: &'a Suspicion, home: &'a Zone) -> View<'a> {
-    View {
+fn context<'a>(load: &'a Load, suspicion: &'a Suspicion, local_zone: &'a Zone) -> Context<'a> {
+    Context {
         now: NOW,
         load,
         suspicion,
         outliers: &NOBODY,
         avoid: &[],
-        home,
-        crowd: 1.0,
-        draw: 0,
+        local_zone,
+        herd_size: 1.0,
+        random: 0,
     }
 }
 
@@ -64,7 +64,7 @@
 fn told(path: &Path) -> Vec<(Incarnation, Use)> {
     let requests = ((ENTRIES - 1) * STREAMS) as u64;
     let used = |layers: u32| Use {
-        tokens: NEED.tokens() * f64::from(layers) * requests as f64,
+        tokens: DEMAND.tokens() * f64::from(layers) * requests as f64,
         requests,
     };
     let parts = path.parts().iter();
@@ -76,7 +76,7 @@
 fn load(path: &Path, dead: &Incarnation) -> Load {
     let mut load = Load::default();
     for _ in 0..STREAMS {
-        load.open_path(path, NEED.tokens());
+        load.open_path(path, DEMAND.tokens());
     }
     load.set_others(ENTRIES as u64 - 1, told(path).into_iter().collect());
     load.lost(NOW, dead);
@@ -92,13 +92,18 @@
 ) {
     let parts = path.parts().iter();
     for part in parts.filter(|part| old.is_none_or(|old| !old.parts().contains(part))) {
-        let node = fleet
-            .nodes
+        let candidate = fleet
+            .candidates
             .iter()
             .find(|n| n.server == part.server)
             .unwrap();
         let model = &fleet.model;
-        let read_ms = model.prefill_ms(node.profile, part.layers.len(), NEED.prompt, 0);
+        let read_ms = model.prefill_ms(
+            candidate.profile,
+            part.layers.len(),
+            DEMAND.prompt_tokens,
+            0,
+        );
         *reading.entry(part.server.clone()).or_default() += read_ms;
     }
 }
@@ -110,9 +115,11 @@
     let model = model();
     let holders = region();
     let fleet = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
     let calm = (Load::default(), Suspicion::default());
-    let old = fleet.choose(NEED, &view(&calm.0, &calm.1, &home)).unwrap();
+    let old = fleet
+        .choose(DEMAND, &context(&calm.0, &calm.1, &local_zone))
+        .unwrap();
     let old = old.path;
     let dead = old.parts()[1].server.clone();
     let mut suspicion = Suspicion::default();
@@ -122,22 +129,22 @@
     for _ in 0..ENTRIES {
         let mut load = load(&old, &dead);
         for _ in 0..STREAMS {
-            let crowd = if counts_crowd {
-                load.backlog.crowd(NOW, &old)
+            let herd_size = if counts_crowd {
+                load.backlog.herd_size(NOW, &old)
             } else {
                 1.0
             };
-            let view = View {
-                crowd,
-                draw: draws.random(),
-                ..view(&load, &suspicion, &home)
+            let context = Context {
+                herd_size,
+                random: draws.random(),
+                ..context(&load, &suspicion, &local_zone)
             };
-            let (path, stays) = match fleet.go_on(NEED, &view, &old, true).unwrap() {
+            let (path, stays) = match fleet.recover(DEMAND, &context, &old, true).unwrap() {
                 Continuation::Repair(choice) => (choice.path, Some(&old)),
                 Continuation::Reopen(choice) => (choice.path, None),
             };
             if counts_crowd {
-                fleet.book_reading(&mut load, NOW, NEED, &path, stays, crowd);
+                fleet.record_prefill(&mut load, NOW, DEMAND, &path, stays, herd_size);
             }
             add_reading(&fleet, &mut reading, &path, stays);
         }
@@ -171,14 +178,17 @@
     let model = model();
     let holders = region();
     let fleet = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
     let (load, mut suspicion) = (Load::default(), Suspicion::default());
     let calm = suspicion.clone();
-    let old = fleet.choose(NEED, &view(&load, &calm, &home)).unwrap().path;
+    let old = fleet
+        .choose(DEMAND, &context(&load, &calm, &local_zone))
+        .unwrap()
+        .path;
     let last = old.parts().last().unwrap().server.clone();
     suspicion.accuse(NOW, &last);
 
-    let chosen = fleet.go_on(NEED, &view(&load, &suspicion, &home), &old, true);
+    let chosen = fleet.recover(DEMAND, &context(&load, &suspicion, &local_zone), &old, true);
 
     let Some(Continuation::Repair(choice)) = chosen else {
         panic!("{chosen:?}");
@@ -193,10 +203,10 @@
     let model = model();
     let holders = region();
     let fleet = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
     let (mut load, suspicion) = (Load::default(), Suspicion::default());
     let choose = |load: &Load| {
-        let choice = fleet.choose(NEED, &view(load, &suspicion, &home));
+        let choice = fleet.choose(DEMAND, &context(load, &suspicion, &local_zone));
         choice.unwrap().path
     };
     let calm = choose(&load);
@@ -211,13 +221,16 @@
 }
 
 /// The best path, and the servers that are left when a part in its middle leaves.
-fn without_a_part(view: &View<'_>) -> (Path, Fleet) {
+fn without_a_part(context: &Context<'_>) -> (Path, Fleet) {
     let model = model();
     let holders = region();
     let whole = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
-    let path = whole.choose(NEED, view).unwrap().path;
+    let path = whole.choose(DEMAND, context).unwrap().path;
     let leaver = path.parts()[1].server.clone();
-    let staying = whole.nodes.iter().filter(|node| node.server != leaver);
+    let staying = whole
+        .candidates
+        .iter()
+        .filter(|candidate| candidate.server != leaver);
     let left = Fleet::new(model.into(), staying.cloned().collect());
     (path, left)
 }
@@ -231,20 +244,20 @@
 fn streams_leave_a_draining_server_without_pauses_that_show() {
     const ALLOWED_MS: f64 = 200.0;
     const LOOK_MS: u64 = 25;
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
     let (mut load, suspicion) = (Load::default(), Suspicion::default());
-    let (old, left) = without_a_part(&view(&load, &suspicion, &home));
+    let (old, left) = without_a_part(&context(&load, &suspicion, &local_zone));
     let mut waiting = ENTRIES * STREAMS;
     let mut reads_until: BTreeMap<Incarnation, f64> = BTreeMap::new();
     let mut longest_ms: f64 = 0.0;
 
     for look in 0..40 {
         let now = Instant(look * LOOK_MS);
-        let view = View {
+        let context = Context {
             now,
-            ..view(&load, &suspicion, &home)
+            ..context(&load, &suspicion, &local_zone)
         };
-        let Some(moved) = left.leave(NEED, &view, &old, true) else {
+        let Some(moved) = left.evacuate(DEMAND, &context, &old, true) else {
             continue;
         };
         let (path, kept) = match &moved {
@@ -258,7 +271,7 @@
             *until = until.max(now.0 as f64) + read_ms;
             longest_ms = longest_ms.max(*until - now.0 as f64);
         }
-        left.book_reading(&mut load, now, NEED, path, kept, 1.0);
+        left.record_prefill(&mut load, now, DEMAND, path, kept, 1.0);
         waiting -= 1;
     }
 
@@ -272,20 +285,20 @@
 /// Nothing leaves while the servers that would have to read its tokens are busy.
 #[test]
 fn a_stream_stays_at_a_draining_server_while_others_are_busy() {
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
     let (mut load, suspicion) = (Load::default(), Suspicion::default());
-    let (old, left) = without_a_part(&view(&load, &suspicion, &home));
+    let (old, left) = without_a_part(&context(&load, &suspicion, &local_zone));
     assert!(
-        left.leave(NEED, &view(&load, &suspicion, &home), &old, true)
+        left.evacuate(DEMAND, &context(&load, &suspicion, &local_zone), &old, true)
             .is_some()
     );
 
-    for node in &left.nodes {
-        load.backlog.add(NOW, &node.server, 300.0);
+    for candidate in &left.candidates {
+        load.backlog.add(NOW, &candidate.server, 300.0);
     }
 
     assert!(
-        left.leave(NEED, &view(&load, &suspicion, &home), &old, true)
+        left.evacuate(DEMAND, &context(&load, &suspicion, &local_zone), &old, true)
             .is_none()
     );
 }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -15,9 +15,9 @@
 use jujube_core::pipeline::board::Board;
 use jujube_core::pipeline::board::Portion;
 use jujube_core::pipeline::board::Scope;
+use jujube_core::pipeline::chooser::Context;
+use jujube_core::pipeline::chooser::Demand;
 use jujube_core::pipeline::chooser::Fleet;
-use jujube_core::pipeline::chooser::Need;
-use jujube_core::pipeline::chooser::View;
 use jujube_core::pipeline::load::Load;
 use jujube_core::pipeline::load::Use;
 use jujube_core::pipeline::outlier::Outliers;
@@ -39,9 +39,9 @@
 use pipeline::profile;
 use pipeline::region;
 
-const NEED: Need = Need {
-    prompt: 760.0,
-    answer: 200.0,
+const DEMAND: Demand = Demand {
+    prompt_tokens: 760.0,
+    answer_tokens: 200.0,
 };
 
 #[derive(Default)]
@@ -53,16 +53,16 @@
 }
 
 impl World {
-    fn view<'a>(&'a self, home: &'a Zone) -> View<'a> {
-        View {
+    fn context<'a>(&'a self, local_zone: &'a Zone) -> Context<'a> {
+        Context {
             now: Instant(0),
             load: &self.load,
             suspicion: &self.suspicion,
             outliers: &self.outliers,
             avoid: &self.avoid,
-            home,
-            crowd: 1.0,
-            draw: 0,
+            local_zone,
+            herd_size: 1.0,
+            random: 0,
         }
     }
 }
@@ -75,8 +75,11 @@
 
 fn zones(fleet: &Fleet, path: &Path) -> Vec<Zone> {
     let zone_of = |part: &Part| {
-        let node = fleet.nodes.iter().find(|node| node.server == part.server);
-        node.unwrap().zone.clone()
+        let candidate = fleet
+            .candidates
+            .iter()
+            .find(|candidate| candidate.server == part.server);
+        candidate.unwrap().zone.clone()
     };
     let mut zones: Vec<Zone> = path.parts().iter().map(zone_of).collect();
     zones.dedup();
@@ -87,12 +90,12 @@
 fn a_calm_path_stays_in_one_zone() {
     let fleet = placed();
     let world = World::default();
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
 
-    let choice = fleet.choose(NEED, &world.view(&home)).unwrap();
+    let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
 
     assert_eq!(zones(&fleet, &choice.path).len(), 1);
-    assert!(!choice.lacks_room());
+    assert!(!choice.lacks_capacity());
 }
 
 /// Requests spread over zones and rows long before any server is full: with each request booked as
@@ -104,10 +107,10 @@
     let homes: [Zone; 3] = ["a".into(), "b".into(), "c".into()];
 
     for number in 0..250 {
-        let home = &homes[number % homes.len()];
-        let choice = fleet.choose(NEED, &world.view(home)).unwrap();
-        assert!(!choice.lacks_room(), "stream {number} finds no room");
-        world.load.open_path(&choice.path, NEED.tokens());
+        let local_zone = &homes[number % homes.len()];
+        let choice = fleet.choose(DEMAND, &world.context(local_zone)).unwrap();
+        assert!(!choice.lacks_capacity(), "stream {number} finds no room");
+        world.load.open_path(&choice.path, DEMAND.tokens());
     }
 }
 
@@ -118,15 +121,27 @@
 #[test]
 fn one_accuser_moves_no_request_and_two_do() {
     let fleet = placed();
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
     let mut world = World::default();
-    let before = fleet.choose(NEED, &world.view(&home)).unwrap().path;
-    let all = fleet.nodes.iter().map(|node| (node.server.clone(), 1));
+    let before = fleet
+        .choose(DEMAND, &world.context(&local_zone))
+        .unwrap()
+        .path;
+    let all = fleet
+        .candidates
+        .iter()
+        .map(|candidate| (candidate.server.clone(), 1));
     let first = &before.parts()[0].server;
 
     world.suspicion.set_told(Instant(0), all.collect());
     assert!(!world.suspicion.is_doubted(first));
-    assert_eq!(fleet.choose(NEED, &world.view(&home)).unwrap().path, before);
+    assert_eq!(
+        fleet
+            .choose(DEMAND, &world.context(&local_zone))
+            .unwrap()
+            .path,
+        before
+    );
 
     world
         .suspicion
@@ -134,7 +149,7 @@
     assert!(world.suspicion.is_doubted(first));
     assert!(
         !fleet
-            .choose(NEED, &world.view(&home))
+            .choose(DEMAND, &world.context(&local_zone))
             .unwrap()
             .path
             .passes(first)
@@ -146,51 +161,56 @@
 fn a_zone_that_others_filled_is_left_alone() {
     let fleet = placed();
     let mut world = World::default();
-    let home: Zone = "c".into();
-    let full = fleet.nodes.iter().filter(|node| node.zone == home);
+    let local_zone: Zone = "c".into();
+    let full = fleet
+        .candidates
+        .iter()
+        .filter(|candidate| candidate.zone == local_zone);
     let rows: Vec<(Incarnation, Use)> = full
-        .map(|node| {
+        .map(|candidate| {
             let used = Use {
-                tokens: node.room,
+                tokens: candidate.kv_capacity,
                 requests: 90,
             };
-            (node.server.clone(), used)
+            (candidate.server.clone(), used)
         })
         .collect();
     world.load.set_others(1, rows.into_iter().collect());
 
-    let choice = fleet.choose(NEED, &world.view(&home)).unwrap();
+    let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
 
-    assert!(!zones(&fleet, &choice.path).contains(&home));
-    assert!(!choice.lacks_room());
+    assert!(!zones(&fleet, &choice.path).contains(&local_zone));
+    assert!(!choice.lacks_capacity());
 }
 
 #[test]
 fn a_suspected_server_is_gone_around() {
     let fleet = placed();
-    let home: Zone = "b".into();
-    let first = fleet.choose(NEED, &World::default().view(&home)).unwrap();
+    let local_zone: Zone = "b".into();
+    let first = fleet
+        .choose(DEMAND, &World::default().context(&local_zone))
+        .unwrap();
 
     for part in first.path.parts() {
         let mut world = World::default();
         world.suspicion.accuse(Instant(0), &part.server);
-        let choice = fleet.choose(NEED, &world.view(&home)).unwrap();
+        let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
         assert!(!choice.path.passes(&part.server));
-        assert!(!choice.is_forced());
+        assert!(!choice.is_last_resort());
     }
 }
 
 #[test]
 fn a_server_that_refused_is_left_out_for_a_moment() {
     let fleet = placed();
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
     let mut world = World::default();
-    let first = fleet.choose(NEED, &world.view(&home)).unwrap();
+    let first = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
     let server = first.path.first().unwrap().server.clone();
 
     world.load.refusals.refused(Instant(0), &server);
 
-    let choice = fleet.choose(NEED, &world.view(&home)).unwrap();
+    let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
     assert!(!choice.path.passes(&server));
     assert!(!world.load.refusals.holds(Instant(10_000), &server));
 }
@@ -198,14 +218,14 @@
 #[test]
 fn a_slow_server_is_gone_around() {
     let fleet = placed();
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
     let mut world = World::default();
-    let first = fleet.choose(NEED, &world.view(&home)).unwrap();
+    let first = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
     let server = first.path.first().unwrap().server.clone();
 
     world.load.reported(Instant(0), &server, 12.0);
 
-    let choice = fleet.choose(NEED, &world.view(&home)).unwrap();
+    let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
     assert!(!choice.path.passes(&server));
 }
 
@@ -216,14 +236,16 @@
 #[test]
 fn a_repair_keeps_the_first_part() {
     let fleet = placed();
-    let home: Zone = "b".into();
-    let first = fleet.choose(NEED, &World::default().view(&home)).unwrap();
+    let local_zone: Zone = "b".into();
+    let first = fleet
+        .choose(DEMAND, &World::default().context(&local_zone))
+        .unwrap();
     let parts = first.path.parts();
     for dead in &parts[1..] {
         let mut world = World::default();
         world.suspicion.accuse(Instant(0), &dead.server);
 
-        let repaired = fleet.repair(NEED, &world.view(&home), &first.path);
+        let repaired = fleet.repair(DEMAND, &world.context(&local_zone), &first.path);
 
         let path = repaired.unwrap().path;
         assert_eq!(path.first(), first.path.first());
@@ -234,11 +256,11 @@
 #[test]
 fn nothing_to_repair_keeps_the_path() {
     let fleet = placed();
-    let home: Zone = "b".into();
+    let local_zone: Zone = "b".into();
     let world = World::default();
-    let first = fleet.choose(NEED, &world.view(&home)).unwrap();
+    let first = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
 
-    let repaired = fleet.repair(NEED, &world.view(&home), &first.path);
+    let repaired = fleet.repair(DEMAND, &world.context(&local_zone), &first.path);
 
     assert_eq!(repaired.unwrap().path, first.path);
 }
@@ -283,16 +305,17 @@
         return 0.0;
     }
     let mut best = f64::INFINITY;
-    for (index, node) in fleet.nodes.iter().enumerate() {
-        if used.contains(&index) || node.held.start > reached || node.held.end <= reached {
+    for (index, candidate) in fleet.candidates.iter().enumerate() {
+        if used.contains(&index) || candidate.held.start > reached || candidate.held.end <= reached
+        {
             continue;
         }
-        for end in reached + 1..=node.held.end {
+        for end in reached + 1..=candidate.held.end {
             used.push(index);
             let hop = if reached == 0 {
                 0.0
             } else {
-                0.2 * NEED.tokens()
+                0.2 * DEMAND.tokens()
             };
             let here = costs[&index] * f64::from(end - reached) + hop;
             best = best.min(here + naive(fleet, end, used, costs));
@@ -336,22 +359,22 @@
         model.layers = 6;
         let fleet = fleet(&model, &holders);
         let world = World::default();
-        let home: Zone = "a".into();
+        let local_zone: Zone = "a".into();
         let layers = 6.0;
-        let costs: BTreeMap<usize, f64> = fleet.nodes.iter().enumerate().map(|(index, node)| {
-            let read = NEED.prompt / model.prefill_tokens_per_second * 1e3 * node.profile.prefill_factor;
-            let write = NEED.answer * model.step_ms * node.profile.step_factor;
+        let costs: BTreeMap<usize, f64> = fleet.candidates.iter().enumerate().map(|(index, candidate)| {
+            let read = DEMAND.prompt_tokens / model.prefill_tokens_per_second * 1e3 * candidate.profile.prefill_factor;
+            let write = DEMAND.answer_tokens * model.step_ms * candidate.profile.step_factor;
             (index, (read + write) / layers)
         }).collect();
 
         let cheapest = naive(&fleet, 0, &mut Vec::new(), &costs);
-        let choice = fleet.choose(NEED, &world.view(&home));
+        let choice = fleet.choose(DEMAND, &world.context(&local_zone));
 
         match choice {
             None => prop_assert!(cheapest.is_infinite()),
             Some(choice) => {
                 prop_assert!(cheapest.is_finite());
-                prop_assert!(choice.cost_ms <= cheapest + 0.2 * NEED.tokens() + 1e-6);
+                prop_assert!(choice.cost_ms <= cheapest + 0.2 * DEMAND.tokens() + 1e-6);
                 prop_assert!(choice.cost_ms >= cheapest - 1e-6);
             }
         }
@@ -365,9 +388,11 @@
     let mut one = holders("a", &[("a100", 1)]);
     one[0].held = Range::new(0, 20);
     let fleet = fleet(&model, &one);
-    let home: Zone = "a".into();
+    let local_zone: Zone = "a".into();
 
-    let choice = fleet.choose(NEED, &World::default().view(&home)).unwrap();
+    let choice = fleet
+        .choose(DEMAND, &World::default().context(&local_zone))
+        .unwrap();
 
     assert_eq!(choice.path.parts().len(), 1);
 }
--- a/crates/core/tests/support/pipeline.rs
+++ b/crates/core/tests/support/pipeline.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use jujube_core::layer::Range;
+use jujube_core::pipeline::chooser::Candidate;
 use jujube_core::pipeline::chooser::Fleet;
-use jujube_core::pipeline::chooser::Node;
 use jujube_core::pipeline::model::Model;
 use jujube_core::pipeline::model::Profile;
 use jujube_core::pipeline::placement::Holder;
@@ -88,13 +88,13 @@
 /// The fleet that holders make up.
 pub fn fleet(model: &Model, holders: &[Holder]) -> Fleet {
     let holding = holders.iter().filter(|holder| !holder.held.is_empty());
-    let nodes = holding.enumerate().map(|(index, holder)| Node {
+    let candidates = holding.enumerate().map(|(index, holder)| Candidate {
         server: holder.server.clone(),
         address: ([10, 0, 0, index as u8], 8000).into(),
         zone: holder.zone.clone(),
         held: holder.held,
         profile: holder.profile,
-        room: model.kv_capacity(holder.profile, holder.held.len()),
+        kv_capacity: model.kv_capacity(holder.profile, holder.held.len()),
     });
-    Fleet::new(Arc::new(model.clone()), nodes.collect())
+    Fleet::new(Arc::new(model.clone()), candidates.collect())
 }
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -9,7 +9,7 @@
 use jujube_core::fence::Token;
 use jujube_core::layer::Range;
 use jujube_core::name::Server as ServerName;
-use jujube_core::pipeline::chooser::Need;
+use jujube_core::pipeline::chooser::Demand;
 use jujube_core::pipeline::document::Document;
 use jujube_core::pipeline::path::Path;
 use jujube_core::pipeline::placement::Handover;
@@ -95,7 +95,7 @@
     fn record(key: &str, value: Option<&Value>) -> Record;
 
     /// Reads what a request needs of an engine.
-    fn need(headers: &HeaderMap) -> Option<Need>;
+    fn need(headers: &HeaderMap) -> Option<Demand>;
 
     /// Writes a path.
     fn path(path: &Path) -> String;
--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -6,8 +6,8 @@
 
 use jujube_core::layer::Range;
 use jujube_core::name::Service;
+use jujube_core::pipeline::chooser::Candidate;
 use jujube_core::pipeline::chooser::Fleet;
-use jujube_core::pipeline::chooser::Node;
 use jujube_core::pipeline::document::Table;
 use jujube_core::pipeline::roster::Roster;
 use jujube_core::time::Instant;
@@ -22,18 +22,18 @@
         let servers = roster.usable().filter(|server| server.service == *service);
         let holding =
             servers.filter(|server| !server.held.is_empty() && model.contains(server.held));
-        let nodes = holding.filter_map(|server| {
+        let candidates = holding.filter_map(|server| {
             let profile = model.profile(server.accelerator.as_ref())?;
-            Some(Node {
+            Some(Candidate {
                 server: server.incarnation.clone(),
                 address: server.address,
                 zone: server.zone.clone(),
                 held: server.held,
                 profile,
-                room: model.kv_capacity(profile, server.held.len()),
+                kv_capacity: model.kv_capacity(profile, server.held.len()),
             })
         });
-        let fleet = Fleet::new(model.clone(), nodes.collect());
+        let fleet = Fleet::new(model.clone(), candidates.collect());
         (service.clone(), Rc::new(fleet))
     });
     fleets.collect()
@@ -57,7 +57,7 @@
         let mut known = self.0.borrow_mut();
         known.retain(|service, _| fleets.contains_key(service));
         for (service, fleet) in fleets {
-            let layers = fleet.missing();
+            let layers = fleet.uncovered_layers();
             let before = known.get(service);
             if before.map_or(layers.is_empty(), |gap| gap.layers == layers) {
                 continue;
@@ -76,7 +76,7 @@
             log::warn!(
                 "event=layers-missing service={service} layers={} servers={} since_ms={lasts}",
                 missing.join(","),
-                fleet.nodes.len()
+                fleet.candidates.len()
             );
             known.insert(service.clone(), Gap { layers, since });
         }
--- a/crates/front/src/planner/order.rs
+++ b/crates/front/src/planner/order.rs
@@ -131,7 +131,7 @@
         let fleets = self.state.fleets.borrow();
         let service = roster.get(&order.server).map(|server| &server.service);
         let fleet = service.and_then(|service| fleets.get(service));
-        fleet.is_some_and(|fleet| !fleet.is_whole())
+        fleet.is_some_and(|fleet| !fleet.is_complete())
     }
 
     /// Tells whether an order is still the last one for its server.
--- a/crates/front/src/stream/booking.rs
+++ b/crates/front/src/stream/booking.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 
 use jujube_core::name::Service;
+use jujube_core::pipeline::chooser::Context;
 use jujube_core::pipeline::chooser::Continuation;
 use jujube_core::pipeline::chooser::Fleet;
-use jujube_core::pipeline::chooser::View;
 use jujube_core::pipeline::path::Part;
 use jujube_core::pipeline::path::Path;
 use jujube_core::pipeline::server::Incarnation;
@@ -155,14 +155,14 @@
     let now = clock::now();
     let crowd = match cause {
         Cause::Leaving => leaving_crowd(state, old),
-        Cause::Dead | Cause::Slow => state.load.borrow().backlog.crowd(now, old),
+        Cause::Dead | Cause::Slow => state.load.borrow().backlog.herd_size(now, old),
     };
     let (chosen, fleet, need) =
         choose_with(state, &stream.service, avoid, crowd, |fleet, view| {
             let need = stream.need(fleet.model.tokens_per_event);
             let chosen = match cause {
-                Cause::Leaving => fleet.leave(need, view, old, may_reopen),
-                Cause::Dead | Cause::Slow => fleet.go_on(need, view, old, may_reopen),
+                Cause::Leaving => fleet.evacuate(need, view, old, may_reopen),
+                Cause::Dead | Cause::Slow => fleet.recover(need, view, old, may_reopen),
             };
             (chosen, fleet.clone(), need)
         })?;
@@ -172,8 +172,8 @@
     }
     let chosen = chosen?;
     let (way, ready_ms) = match &chosen {
-        Continuation::Reopen(choice) => ("reopen", choice.ready_ms),
-        Continuation::Repair(choice) => ("repair", choice.ready_ms),
+        Continuation::Reopen(choice) => ("reopen", choice.first_event_ms),
+        Continuation::Repair(choice) => ("repair", choice.first_event_ms),
     };
     log::info!(
         "event=moving request={} cause={cause:?} way={way} ready_ms={ready_ms:.0} crowd={crowd:.0} from={old}",
@@ -182,11 +182,11 @@
     let mut load = state.load.borrow_mut();
     match &chosen {
         Continuation::Reopen(choice) => {
-            fleet.book_reading(&mut load, now, need, &choice.path, None, crowd);
+            fleet.record_prefill(&mut load, now, need, &choice.path, None, crowd);
             stream.planned.replace(Some(choice.path.clone()));
         }
         Continuation::Repair(choice) => {
-            fleet.book_reading(&mut load, now, need, &choice.path, Some(old), crowd);
+            fleet.record_prefill(&mut load, now, need, &choice.path, Some(old), crowd);
         }
     }
     Some(chosen)
@@ -214,21 +214,21 @@
     service: &Service,
     avoid: &[Incarnation],
     crowd: f64,
-    choose: impl FnOnce(&Rc<Fleet>, &View<'_>) -> T,
+    choose: impl FnOnce(&Rc<Fleet>, &Context<'_>) -> T,
 ) -> Option<T> {
     let fleet = state.fleets.borrow().get(service)?.clone();
     let suspicion = state.suspicion.borrow();
     let outliers = state.outliers.borrow();
     let load = state.load.borrow();
-    let view = View {
+    let view = Context {
         now: clock::now(),
         load: &load,
         suspicion: &suspicion,
         outliers: &outliers,
         avoid,
-        home: &state.settings.zone,
-        crowd,
-        draw: rand::random(),
+        local_zone: &state.settings.zone,
+        herd_size: crowd,
+        random: rand::random(),
     };
     Some(choose(&fleet, &view))
 }
--- a/crates/front/src/stream/mod.rs
+++ b/crates/front/src/stream/mod.rs
@@ -16,7 +16,7 @@
 use hyper::StatusCode;
 use hyper::header::CONTENT_TYPE;
 use hyper::header::HeaderName;
-use jujube_core::pipeline::chooser::Need;
+use jujube_core::pipeline::chooser::Demand;
 use jujube_core::pipeline::relay::Relay;
 use jujube_core::time::Span;
 use jujube_program::clock;
@@ -65,9 +65,9 @@
     request: Admitted,
     guard: Guard<D>,
 ) -> Response<Body<D>> {
-    let need = D::need(&request.outgoing.headers).unwrap_or(Need {
-        prompt: 0.0,
-        answer: 0.0,
+    let need = D::need(&request.outgoing.headers).unwrap_or(Demand {
+        prompt_tokens: 0.0,
+        answer_tokens: 0.0,
     });
     let last = head::number(&request.outgoing.headers, &LAST_EVENT);
     let now = clock::now();
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -231,22 +231,24 @@
     }
     let now = clock::now();
     let left = stream.left.borrow();
-    let backlog = |left| state.load.borrow().backlog.crowd(now, left);
+    let backlog = |left| state.load.borrow().backlog.herd_size(now, left);
     let crowd = left.as_ref().map_or(1.0, backlog);
     let (choice, fleet, need) =
         choose_with(state, &stream.service, avoid, crowd, |fleet, view| {
             let need = stream.need(fleet.model.tokens_per_event);
             (fleet.choose(need, view), fleet.clone(), need)
         })?;
-    let choice = choice.filter(|choice| !choice.is_forced())?;
+    let choice = choice.filter(|choice| !choice.is_last_resort())?;
     let is_under_way = stream.events.get() > 0;
-    if is_under_way && choice.lacks_room() && clock::now().since(stream.last_event.get()) < HOPEFUL
+    if is_under_way
+        && choice.lacks_capacity()
+        && clock::now().since(stream.last_event.get()) < HOPEFUL
     {
         return None;
     }
     let path = choice.path;
     let mut load = state.load.borrow_mut();
-    fleet.book_reading(&mut load, now, need, &path, None, crowd);
+    fleet.record_prefill(&mut load, now, need, &path, None, crowd);
     Some(path)
 }
 
--- a/crates/front/src/stream/record.rs
+++ b/crates/front/src/stream/record.rs
@@ -9,7 +9,7 @@
 use futures::task::AtomicWaker;
 use jujube_core::name::Service;
 use jujube_core::pipeline::attempts::Attempts;
-use jujube_core::pipeline::chooser::Need;
+use jujube_core::pipeline::chooser::Demand;
 use jujube_core::pipeline::document::Route;
 use jujube_core::pipeline::path::Part;
 use jujube_core::pipeline::path::Path;
@@ -84,7 +84,7 @@
     pub planned: RefCell<Option<Path>>,
     /// Servers that kept it waiting for no reason that they tell.
     pub distrusted: RefCell<Vec<Incarnation>>,
-    pub(super) need: Need,
+    pub(super) need: Demand,
     pub(super) outgoing: Outgoing,
     pub(super) arrived: Instant,
     /// The engines that it ran on.
@@ -121,12 +121,12 @@
     }
 
     /// Returns what the request needs from now on: the events so far are read like a prompt.
-    pub fn need(&self, tokens_per_event: f64) -> Need {
+    pub fn need(&self, tokens_per_event: f64) -> Demand {
         let written = self.events.get() as f64 * tokens_per_event;
-        let written = written.min(self.need.answer);
-        Need {
-            prompt: self.need.prompt + written,
-            answer: self.need.answer - written,
+        let written = written.min(self.need.answer_tokens);
+        Demand {
+            prompt_tokens: self.need.prompt_tokens + written,
+            answer_tokens: self.need.answer_tokens - written,
         }
     }
 
--- a/crates/front/src/waiting.rs
+++ b/crates/front/src/waiting.rs
@@ -13,7 +13,7 @@
 use jujube_core::admission::Ticket;
 use jujube_core::name::Customer;
 use jujube_core::name::Service;
-use jujube_core::pipeline::chooser::Need;
+use jujube_core::pipeline::chooser::Demand;
 use jujube_core::time::Span;
 use jujube_program::clock;
 use tokio::sync::oneshot;
@@ -32,7 +32,7 @@
 const MOST: u64 = 10_000;
 
 struct Waiter {
-    need: Need,
+    need: Demand,
     admitted: oneshot::Sender<()>,
 }
 
@@ -103,7 +103,7 @@
     /// Its rank; 0 goes first.
     pub priority: u64,
     /// What it needs.
-    pub need: Need,
+    pub need: Demand,
     /// How soon its first event is on time.
     pub target: Span,
 }
@@ -224,14 +224,14 @@
     Span(FIRST_GUESS.0 / 2 + spread + waiting * 10)
 }
 
-fn has_room<D>(state: &State<D>, service: &Service, need: Need) -> bool {
+fn has_room<D>(state: &State<D>, service: &Service, need: Demand) -> bool {
     let choice = stream::choose_with(state, service, &[], 1.0, |fleet, view| {
         fleet.choose(need, view)
     });
     // Without any path there is nothing to wait for here; the request is answered at once.
     choice
         .flatten()
-        .is_none_or(|choice| !choice.lacks_room() || choice.is_forced())
+        .is_none_or(|choice| !choice.lacks_capacity() || choice.is_last_resort())
 }
 
 /// Admits waiting requests as room is made, until the process ends.
@@ -267,7 +267,7 @@
     waiter.is_some_and(|waiter| waiter.admitted.send(()).is_ok())
 }
 
-fn next<D>(state: &State<D>, service: &Service) -> Option<(Ticket, Need)> {
+fn next<D>(state: &State<D>, service: &Service) -> Option<(Ticket, Demand)> {
     let mut lines = state.waiting.lines.borrow_mut();
     let line = lines.get_mut(service)?;
     if line.head.is_none() {
