--- a/crates/core/src/pipeline/backlog.rs
+++ b/crates/core/src/pipeline/backlog.rs
@@ -59,7 +59,7 @@
     ///
     /// All entries move their streams at the same moment and hear of one another's moves too late.
     /// They choose by the same figures, so each takes it that the others do what it does.
-    pub fn lost(&mut self, now: Instant, server: &Incarnation, own: u64, all: u64) {
+    pub fn server_lost(&mut self, now: Instant, server: &Incarnation, own: u64, all: u64) {
         self.lost.retain(|_, (at, _)| now.since(*at) <= LOSS);
         let herd_size = all as f64 / own.max(1) as f64;
         let herd_size = herd_size.clamp(1.0, MAX_HERD_SIZE);
--- a/crates/core/src/pipeline/chooser/search.rs
+++ b/crates/core/src/pipeline/chooser/search.rs
@@ -9,7 +9,7 @@
 use super::Fleet;
 use super::NO_ROOM_MS;
 use crate::layer::Range;
-use crate::pipeline::path::MOST_PARTS;
+use crate::pipeline::path::MAX_PARTS;
 use crate::pipeline::path::Part;
 use crate::pipeline::path::Path;
 
@@ -224,7 +224,7 @@
         read_ms += before.read_ms;
         wait_ms = before.wait_ms.max(wait_ms);
     }
-    if parts > MOST_PARTS {
+    if parts > MAX_PARTS {
         cost_ms = f64::INFINITY;
     }
     Step {
--- a/crates/core/src/pipeline/load.rs
+++ b/crates/core/src/pipeline/load.rs
@@ -11,7 +11,7 @@
 
 /// What is in flight at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Use {
+pub struct Usage {
     /// Memory, in tokens times layers.
     pub tokens: f64,
     /// Requests.
@@ -35,9 +35,9 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    own: BTreeMap<Incarnation, Use>,
+    own: BTreeMap<Incarnation, Usage>,
     /// What the other entries have, added up, so that a choice needs one look-up a server.
-    others: BTreeMap<Incarnation, Use>,
+    others: BTreeMap<Incarnation, Usage>,
     /// How many other entries that is of.
     peers: u64,
     /// What servers were given to read.
@@ -90,9 +90,10 @@
     }
 
     /// Books that a server was lost, so that the moves of its streams are foreseen.
-    pub fn lost(&mut self, now: Instant, server: &Incarnation) {
+    pub fn server_lost(&mut self, now: Instant, server: &Incarnation) {
         let own = self.own.get(server).map_or(0, |used| used.requests);
-        self.backlog.lost(now, server, own, self.requests(server));
+        self.backlog
+            .server_lost(now, server, own, self.requests(server));
     }
 
     /// Books how many times slower than usual a server says it is.
@@ -130,7 +131,7 @@
     }
 
     /// Takes what the other entries have in flight, added up, and how many of them that is of.
-    pub fn set_others(&mut self, entries: u64, servers: BTreeMap<Incarnation, Use>) {
+    pub fn set_others(&mut self, entries: u64, servers: BTreeMap<Incarnation, Usage>) {
         self.peers = entries;
         self.others = servers;
     }
@@ -148,21 +149,21 @@
     }
 
     /// Returns what this entry has in flight, to tell the others.
-    pub fn own(&self) -> impl Iterator<Item = (&Incarnation, &Use)> {
+    pub fn own(&self) -> impl Iterator<Item = (&Incarnation, &Usage)> {
         self.own.iter()
     }
 
     /// Returns the memory in use at a server, in tokens times layers.
     #[must_use]
     pub fn tokens(&self, server: &Incarnation) -> f64 {
-        let tokens = |used: &Use| used.tokens;
+        let tokens = |used: &Usage| used.tokens;
         self.own.get(server).map_or(0.0, tokens) + self.others.get(server).map_or(0.0, tokens)
     }
 
     /// Returns the requests in flight at a server.
     #[must_use]
     pub fn requests(&self, server: &Incarnation) -> u64 {
-        let requests = |used: &Use| used.requests;
+        let requests = |used: &Usage| used.requests;
         self.own.get(server).map_or(0, requests) + self.others.get(server).map_or(0, requests)
     }
 }
--- a/crates/core/src/pipeline/path.rs
+++ b/crates/core/src/pipeline/path.rs
@@ -29,17 +29,17 @@
 pub enum Fault {
     /// A part does not begin where the one before it ends, or the last layer is not reached.
     #[error("the parts do not run every layer once and in order")]
-    Broken,
+    NotContiguous,
     /// A backend server stands in the path twice, which engines refuse.
     #[error("a backend server stands in the path twice")]
-    Twice,
+    DuplicateServer,
     /// There are more parts than engines take.
-    #[error("there are more than {MOST_PARTS} parts")]
+    #[error("there are more than {MAX_PARTS} parts")]
     TooLong,
 }
 
 /// The most parts that engines take; the platform's figure.
-pub const MOST_PARTS: usize = 32;
+pub const MAX_PARTS: usize = 32;
 
 impl Path {
     /// Checks that parts run `layers` layers once and in order.
@@ -51,17 +51,17 @@
         let mut reached = 0;
         for (index, part) in parts.iter().enumerate() {
             if part.layers.start != reached || part.layers.is_empty() {
-                return Err(Fault::Broken);
+                return Err(Fault::NotContiguous);
             }
             if parts[..index].iter().any(|p| p.address == part.address) {
-                return Err(Fault::Twice);
+                return Err(Fault::DuplicateServer);
             }
             reached = part.layers.end;
         }
         if reached != layers {
-            return Err(Fault::Broken);
+            return Err(Fault::NotContiguous);
         }
-        if parts.len() > MOST_PARTS {
+        if parts.len() > MAX_PARTS {
             return Err(Fault::TooLong);
         }
         Ok(Self(parts))
@@ -81,13 +81,13 @@
 
     /// Returns the part that listens at an address.
     #[must_use]
-    pub fn at(&self, address: SocketAddr) -> Option<&Part> {
+    pub fn part_at(&self, address: SocketAddr) -> Option<&Part> {
         self.0.iter().find(|part| part.address == address)
     }
 
     /// Tells whether a backend server stands in the path.
     #[must_use]
-    pub fn passes(&self, server: &Incarnation) -> bool {
+    pub fn contains(&self, server: &Incarnation) -> bool {
         self.0.iter().any(|part| part.server == *server)
     }
 }
--- a/crates/core/src/pipeline/summary.rs
+++ b/crates/core/src/pipeline/summary.rs
@@ -5,7 +5,7 @@
 
 use crate::fence::Token;
 use crate::layer::Range;
-use crate::pipeline::load::Use;
+use crate::pipeline::load::Usage;
 use crate::pipeline::outlier::Tally;
 use crate::pipeline::server::Incarnation;
 use crate::time::Span;
@@ -18,13 +18,13 @@
 /// # Examples
 ///
 /// ```
-/// # use jujube_core::pipeline::load::Use;
+/// # use jujube_core::pipeline::load::Usage;
 /// # use jujube_core::pipeline::summary::Summary;
-/// let used = |requests| Use { tokens: 100.0, requests };
+/// let used = |requests| Usage { tokens: 100.0, requests };
 /// let mut all = Summary { entries: 1, used: [("a".into(), used(2))].into(), ..Summary::default() };
 /// all.add(&Summary { entries: 1, used: [("a".into(), used(1))].into(), ..Summary::default() });
 /// assert_eq!(all.entries, 2);
-/// assert_eq!(all.used[&"a".into()], Use { tokens: 200.0, requests: 3 });
+/// assert_eq!(all.used[&"a".into()], Usage { tokens: 200.0, requests: 3 });
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
@@ -37,7 +37,7 @@
     /// Who gives orders, under which fencing number.
     pub planner: Option<(Token, SocketAddr)>,
     /// What is in flight.
-    pub used: BTreeMap<Incarnation, Use>,
+    pub used: BTreeMap<Incarnation, Usage>,
     /// How requests ended.
     pub ended: BTreeMap<Incarnation, Tally>,
     /// How many times slower than usual servers say they are.
--- a/crates/core/tests/cells.rs
+++ b/crates/core/tests/cells.rs
@@ -20,7 +20,7 @@
 use jujube_core::pipeline::cell::RELAY;
 use jujube_core::pipeline::cell::STANDS;
 use jujube_core::pipeline::cell::TELL;
-use jujube_core::pipeline::load::Use;
+use jujube_core::pipeline::load::Usage;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::summary::Summary;
 use jujube_core::time::Instant;
@@ -56,7 +56,7 @@
 /// What an entry itself has to tell: one stream on each of two servers.
 fn own(number: usize) -> Summary {
     let used = |index: usize| {
-        let used = Use {
+        let used = Usage {
             tokens: 100.0,
             requests: 1,
         };
--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -19,7 +19,7 @@
 use jujube_core::pipeline::chooser::Demand;
 use jujube_core::pipeline::chooser::Fleet;
 use jujube_core::pipeline::load::Load;
-use jujube_core::pipeline::load::Use;
+use jujube_core::pipeline::load::Usage;
 use jujube_core::pipeline::outlier::Outliers;
 use jujube_core::pipeline::path::Path;
 use jujube_core::pipeline::placement::plan;
@@ -61,9 +61,9 @@
 }
 
 /// What one entry knows of the others' streams on a path.
-fn told(path: &Path) -> Vec<(Incarnation, Use)> {
+fn told(path: &Path) -> Vec<(Incarnation, Usage)> {
     let requests = ((ENTRIES - 1) * STREAMS) as u64;
-    let used = |layers: u32| Use {
+    let used = |layers: u32| Usage {
         tokens: DEMAND.tokens() * f64::from(layers) * requests as f64,
         requests,
     };
@@ -79,7 +79,7 @@
         load.open_path(path, DEMAND.tokens());
     }
     load.set_others(ENTRIES as u64 - 1, told(path).into_iter().collect());
-    load.lost(NOW, dead);
+    load.server_lost(NOW, dead);
     load
 }
 
@@ -194,7 +194,7 @@
         panic!("{chosen:?}");
     };
     assert_eq!(choice.path.first(), old.first());
-    assert!(!choice.path.passes(&last));
+    assert!(!choice.path.contains(&last));
 }
 
 /// A new request is not sent where much is still to be read.
@@ -216,7 +216,7 @@
 
     let path = choose(&load);
 
-    let passes = |part: &jujube_core::pipeline::path::Part| calm.passes(&part.server);
+    let passes = |part: &jujube_core::pipeline::path::Part| calm.contains(&part.server);
     assert!(!path.parts().iter().any(passes));
 }
 
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -19,7 +19,7 @@
 use jujube_core::pipeline::chooser::Demand;
 use jujube_core::pipeline::chooser::Fleet;
 use jujube_core::pipeline::load::Load;
-use jujube_core::pipeline::load::Use;
+use jujube_core::pipeline::load::Usage;
 use jujube_core::pipeline::outlier::Outliers;
 use jujube_core::pipeline::path::Fault;
 use jujube_core::pipeline::path::Part;
@@ -152,7 +152,7 @@
             .choose(DEMAND, &world.context(&local_zone))
             .unwrap()
             .path
-            .passes(first)
+            .contains(first)
     );
 }
 
@@ -166,9 +166,9 @@
         .candidates
         .iter()
         .filter(|candidate| candidate.zone == local_zone);
-    let rows: Vec<(Incarnation, Use)> = full
+    let rows: Vec<(Incarnation, Usage)> = full
         .map(|candidate| {
-            let used = Use {
+            let used = Usage {
                 tokens: candidate.kv_capacity,
                 requests: 90,
             };
@@ -195,7 +195,7 @@
         let mut world = World::default();
         world.suspicion.accuse(Instant(0), &part.server);
         let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
-        assert!(!choice.path.passes(&part.server));
+        assert!(!choice.path.contains(&part.server));
         assert!(!choice.is_last_resort());
     }
 }
@@ -211,7 +211,7 @@
     world.load.refusals.refused(Instant(0), &server);
 
     let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
-    assert!(!choice.path.passes(&server));
+    assert!(!choice.path.contains(&server));
     assert!(!world.load.refusals.holds(Instant(10_000), &server));
 }
 
@@ -226,7 +226,7 @@
     world.load.reported(Instant(0), &server, 12.0);
 
     let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
-    assert!(!choice.path.passes(&server));
+    assert!(!choice.path.contains(&server));
 }
 
 /// The caller sees a short pause and the same stream go on.
@@ -249,7 +249,7 @@
 
         let path = repaired.unwrap().path;
         assert_eq!(path.first(), first.path.first());
-        assert!(!path.passes(&dead.server));
+        assert!(!path.contains(&dead.server));
     }
 }
 
@@ -285,10 +285,10 @@
         part("a", 1, 40, 80),
     ];
 
-    assert_eq!(Path::new(80, gap), Err(Fault::Broken));
-    assert_eq!(Path::new(80, overlap), Err(Fault::Broken));
-    assert_eq!(Path::new(80, short), Err(Fault::Broken));
-    assert_eq!(Path::new(80, twice), Err(Fault::Twice));
+    assert_eq!(Path::new(80, gap), Err(Fault::NotContiguous));
+    assert_eq!(Path::new(80, overlap), Err(Fault::NotContiguous));
+    assert_eq!(Path::new(80, short), Err(Fault::NotContiguous));
+    assert_eq!(Path::new(80, twice), Err(Fault::DuplicateServer));
 }
 
 #[test]
@@ -402,7 +402,7 @@
 fn the_load_of_others_is_what_each_said_last() {
     let word = |tokens: f64, requests: u64| Summary {
         entries: 1,
-        used: [("s".into(), Use { tokens, requests })].into(),
+        used: [("s".into(), Usage { tokens, requests })].into(),
         ..Summary::default()
     };
     let (mut load, mut board) = (Load::default(), Board::default());
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -9,7 +9,7 @@
 use jujube_core::pipeline::board::Portion;
 use jujube_core::pipeline::board::Scope;
 use jujube_core::pipeline::cell::Id;
-use jujube_core::pipeline::load::Use;
+use jujube_core::pipeline::load::Usage;
 use jujube_core::pipeline::outlier::Tally;
 use jujube_core::pipeline::server::Born;
 use jujube_core::pipeline::server::Incarnation;
@@ -67,8 +67,8 @@
     Ordered { start: u32, end: u32 },
 }
 
-impl From<&Use> for Fact {
-    fn from(used: &Use) -> Self {
+impl From<&Usage> for Fact {
+    fn from(used: &Usage) -> Self {
         Self::Used {
             tokens: used.tokens as f32,
             requests: used.requests as u32,
@@ -271,7 +271,7 @@
 fn take(summary: &mut Summary, server: Incarnation, fact: Fact) -> Result<(), Malformed> {
     match fact {
         Fact::Used { tokens, requests } => {
-            let used = Use {
+            let used = Usage {
                 tokens: figure(tokens)?,
                 requests: u64::from(requests),
             };
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -237,7 +237,7 @@
         let fresh = self.suspicion.borrow_mut().accuse(clock::now(), server);
         self.pool.forget(server);
         if fresh {
-            self.load.borrow_mut().lost(clock::now(), server);
+            self.load.borrow_mut().server_lost(clock::now(), server);
             self.is_news.notify_waiters();
             self.streams.look_at(server);
             self.metrics.count("servers_suspected");
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -424,6 +424,6 @@
     };
     let path = stream.path.borrow();
     let path = path.as_ref()?;
-    let named = at_fault.and_then(|address| path.at(address));
+    let named = at_fault.and_then(|address| path.part_at(address));
     named.or_else(|| path.first()).cloned()
 }
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -51,7 +51,7 @@
     pub fn look_at(&self, server: &Incarnation) {
         for stream in self.listed.borrow().values() {
             let path = stream.path.borrow();
-            if path.as_ref().is_some_and(|path| path.passes(server)) {
+            if path.as_ref().is_some_and(|path| path.contains(server)) {
                 stream.is_urgent.set(true);
             }
         }
@@ -134,7 +134,7 @@
         return false;
     }
     let path = stream.path.borrow();
-    let passes = |server| path.as_ref().is_some_and(|path| path.passes(server));
+    let passes = |server| path.as_ref().is_some_and(|path| path.contains(server));
     stream.events.get() > 0 && leaving.iter().any(passes)
 }
 
@@ -338,7 +338,7 @@
         return Repaired::Done;
     }
     let at_fault = D::part_at_fault(&body);
-    match at_fault.and_then(|address| choice.path.at(address)) {
+    match at_fault.and_then(|address| choice.path.part_at(address)) {
         Some(part) => Repaired::Refused(part.server.clone()),
         None => Repaired::Impossible,
     }
