--- a/crates/core/src/pipeline/assignment.rs
+++ b/crates/core/src/pipeline/assignment.rs
@@ -46,7 +46,7 @@
         let is_held_up = gives_up && self.handover == Handover::Drain && requests > 0;
         let is_overdue = now.since(self.since) > due(model, self.layers, loads);
         match self.is_refused || is_held_up || is_overdue {
-            true => Phase::Waiting,
+            true => Phase::Blocked,
             false => Phase::Loading,
         }
     }
--- a/crates/core/src/pipeline/placement/close.rs
+++ b/crates/core/src/pipeline/placement/gaps.rs
@@ -35,12 +35,12 @@
 pub(super) fn close(model: &Model, group: &mut [Holder], room: f64) -> Vec<Order> {
     let mut orders: Vec<Order> = Vec::new();
     for _ in 0..MOST_CLOSING {
-        let gaps = layer::gaps(model.layers, group.iter().map(|holder| holder.held));
+        let gaps = layer::gaps(model.layers, group.iter().map(|holder| holder.assigned));
         let is_free = |index: &usize| {
             let holder = &group[*index];
             let is_ordered = orders.iter().any(|order| order.server == holder.server);
             let is_idle = matches!(holder.phase, Phase::Settled | Phase::Joining);
-            is_idle && !is_ordered && !holder.held.is_empty()
+            is_idle && !is_ordered && !holder.assigned.is_empty()
         };
         let free = (0..group.len()).filter(is_free);
         let choices = free.flat_map(|index| {
@@ -55,7 +55,7 @@
             break;
         };
         let holder = &mut group[best.index];
-        holder.held = best.layers;
+        holder.assigned = best.layers;
         orders.push(Order::new(holder.server.clone(), best.layers));
     }
     orders
@@ -75,14 +75,14 @@
             });
         }
     };
-    let added = most(model, holder, room).saturating_sub(holder.held.len());
+    let added = most(model, holder, room).saturating_sub(holder.assigned.len());
     let added = added.min(gap.len());
-    if holder.held.end == gap.start {
-        let layers = Range::new(holder.held.start, gap.start + added);
+    if holder.assigned.end == gap.start {
+        let layers = Range::new(holder.assigned.start, gap.start + added);
         offer(layers, added, ADDING);
     }
-    if holder.held.start == gap.end {
-        let layers = Range::new(gap.end - added, holder.held.end);
+    if holder.assigned.start == gap.end {
+        let layers = Range::new(gap.end - added, holder.assigned.end);
         offer(layers, added, ADDING);
     }
     if is_spare(model, group, index) {
@@ -108,7 +108,7 @@
         .enumerate()
         .filter(|(other, _)| *other != index);
     let carried = others.map(|(_, holder)| kept(holder));
-    let own = group[index].carried;
+    let own = group[index].serving;
     layer::gaps(model.layers, carried)
         .iter()
         .all(|gap| gap.end <= own.start || own.end <= gap.start)
@@ -116,7 +116,7 @@
 
 /// Returns the layers that a server carries now and goes on to carry.
 fn kept(holder: &Holder) -> Range {
-    let start = holder.carried.start.max(holder.held.start);
-    let end = holder.carried.end.min(holder.held.end);
+    let start = holder.serving.start.max(holder.assigned.start);
+    let end = holder.serving.end.min(holder.assigned.end);
     Range::new(start, end)
 }
--- a/crates/core/src/pipeline/placement/holder.rs
+++ b/crates/core/src/pipeline/placement/holder.rs
@@ -17,7 +17,7 @@
     Loading,
     /// It was ordered to hold other layers and waits for requests that pass through those that it gives up.
     /// That takes as long as they run, and until then it refuses every other order.
-    Waiting,
+    Blocked,
     /// It joined empty a moment ago. In a release the server that it replaces says only now that
     /// it drains; given other layers at once, it would have to load twice.
     Joining,
@@ -33,9 +33,9 @@
     /// Its accelerator.
     pub profile: Profile,
     /// The layers that it holds, or that it was last ordered to hold.
-    pub held: Range,
+    pub assigned: Range,
     /// The layers that requests can pass through now; others than it is ordered to hold until its order shows.
-    pub carried: Range,
+    pub serving: Range,
     /// The requests that pass through it now.
     pub requests: u64,
     /// What it is about; a server that joined counts as settled while a layer has no holder.
@@ -45,13 +45,13 @@
 impl Holder {
     /// Returns a settled server through which no request passes.
     #[must_use]
-    pub fn new(server: Incarnation, zone: Zone, profile: Profile, held: Range) -> Self {
+    pub fn new(server: Incarnation, zone: Zone, profile: Profile, assigned: Range) -> Self {
         Self {
             server,
             zone,
             profile,
-            held,
-            carried: held,
+            assigned,
+            serving: assigned,
             requests: 0,
             phase: Phase::Settled,
         }
@@ -94,8 +94,8 @@
     ///
     /// Planned while there was no path, it may be given again, after a refusal, when there is one.
     #[must_use]
-    pub fn handover_now(&self, is_dark: bool) -> Handover {
-        match is_dark {
+    pub fn handover_now(&self, is_unserved: bool) -> Handover {
+        match is_unserved {
             true => self.handover,
             false => Handover::Drain,
         }
@@ -118,7 +118,7 @@
     let mut group = group.to_vec();
     for holder in &mut group {
         let order = orders.iter().find(|order| order.server == holder.server);
-        holder.held = order.map_or(holder.held, |order| order.layers);
+        holder.assigned = order.map_or(holder.assigned, |order| order.layers);
     }
     group
 }
--- a/crates/core/src/pipeline/placement/layers.rs
+++ b/crates/core/src/pipeline/placement/layers.rs
@@ -6,8 +6,8 @@
 /// What a layer without any holder counts as, in tokens: little, so that the first holder of each
 /// such layer is worth more than anything else.
 pub(super) const NOTHING: f64 = 500.0;
-pub(super) fn resistance(model: &Model, group: &[Holder]) -> f64 {
-    Layers::of(model, group).resistance()
+pub(super) fn cost(model: &Model, group: &[Holder]) -> f64 {
+    Layers::of(model, group).cost()
 }
 
 /// What the holders of each layer have between them.
@@ -37,13 +37,13 @@
     }
 
     pub(super) fn add(&mut self, model: &Model, holder: &Holder, sign: f64) {
-        if holder.held.is_empty() {
+        if holder.assigned.is_empty() {
             return;
         }
-        let each =
-            model.kv_capacity(holder.profile, holder.held.len()) / f64::from(holder.held.len());
-        let end = holder.held.end.min(self.room.len() as u32);
-        for layer in holder.held.start as usize..end as usize {
+        let each = model.kv_capacity(holder.profile, holder.assigned.len())
+            / f64::from(holder.assigned.len());
+        let end = holder.assigned.end.min(self.room.len() as u32);
+        for layer in holder.assigned.start as usize..end as usize {
             self.room[layer] += sign * each;
             self.paced[layer] += sign * each * holder.profile.step_factor;
         }
@@ -54,7 +54,7 @@
     ///
     /// The room that counts is that of the fullest layers; the power lets the others count a little,
     /// so that each of several moves that together close a gap shows as a gain.
-    pub(super) fn resistance(&self) -> f64 {
+    pub(super) fn cost(&self) -> f64 {
         let mut step_factor = 0.0;
         let mut tightness = 0.0;
         for (room, paced) in self.room.iter().zip(&self.paced) {
--- a/crates/core/src/pipeline/placement/mod.rs
+++ b/crates/core/src/pipeline/placement/mod.rs
@@ -3,11 +3,11 @@
 //! The plan is a pure function of what the servers hold and have been ordered to hold. A planner
 //! that knows nothing therefore goes on where the one before it stopped.
 
-mod close;
+mod gaps;
 mod holder;
 mod layers;
-mod mend;
-mod rows;
+mod repair;
+mod replicas;
 
 use std::collections::BTreeMap;
 
@@ -33,18 +33,21 @@
     if model.layers == 0 {
         return Vec::new();
     }
-    let is_dark = !mend::carries(model, holders);
-    let holders: Vec<Holder> = holders.iter().map(|h| as_believed(h, is_dark)).collect();
+    let is_unserved = !repair::carries(model, holders);
+    let holders: Vec<Holder> = holders
+        .iter()
+        .map(|h| as_believed(h, is_unserved))
+        .collect();
     let mut orders = Vec::new();
     for group in groups(model, &holders) {
-        if group.iter().all(|holder| holder.held.is_empty()) {
-            orders.extend(rows::rows(model, &group));
+        if group.iter().all(|holder| holder.assigned.is_empty()) {
+            orders.extend(replicas::place(model, &group));
         } else {
-            orders.extend(mend::mend(model, &group));
+            orders.extend(repair::repair(model, &group));
         }
     }
     orders.retain(|order| is_safe(model, &holders, order));
-    if is_dark {
+    if is_unserved {
         for order in &mut orders {
             order.handover = Handover::Break;
         }
@@ -53,10 +56,10 @@
 }
 
 /// Returns a holder with the layers that are to count as its own.
-fn as_believed(holder: &Holder, is_dark: bool) -> Holder {
+fn as_believed(holder: &Holder, is_unserved: bool) -> Holder {
     let mut holder = holder.clone();
-    if is_dark && holder.phase == Phase::Waiting {
-        holder.held = holder.carried;
+    if is_unserved && holder.phase == Phase::Blocked {
+        holder.assigned = holder.serving;
     }
     holder
 }
--- a/crates/core/src/pipeline/placement/mend.rs
+++ b/crates/core/src/pipeline/placement/repair.rs
@@ -1,17 +1,17 @@
 //! Mending a running group: layers for servers that join, moves after a loss.
 
-use super::close::MOST_CLOSING;
-use super::close::close;
+use super::gaps::MOST_CLOSING;
+use super::gaps::close;
 use super::holder::Holder;
 use super::holder::Order;
 use super::holder::Phase;
 use super::holder::beside;
 use super::layers::Layers;
 use super::layers::capacity;
-use super::layers::resistance;
-use super::rows::FAST_ROOM;
-use super::rows::LEAST_ROOM;
-use super::rows::scratch;
+use super::layers::cost;
+use super::replicas::FAST_ROOM;
+use super::replicas::LEAST_ROOM;
+use super::replicas::scratch;
 use crate::layer;
 use crate::layer::Range;
 use crate::pipeline::model::Model;
@@ -40,7 +40,7 @@
 ///
 /// Each step is the one that lowers the group's resistance most, so the servers that still serve
 /// stay where they are unless others hold their layers as well.
-pub(super) fn mend(model: &Model, group: &[Holder]) -> Vec<Order> {
+pub(super) fn repair(model: &Model, group: &[Holder]) -> Vec<Order> {
     for (rooms, room) in CLOSING_ROOMS {
         let mut mended = group.to_vec();
         let mut orders = fill(model, &mut mended, rooms);
@@ -72,7 +72,7 @@
 
 /// Tells whether requests can pass through the whole model now.
 pub(super) fn carries(model: &Model, group: &[Holder]) -> bool {
-    let carried = group.iter().map(|holder| holder.carried);
+    let carried = group.iter().map(|holder| holder.serving);
     layer::gaps(model.layers, carried).is_empty()
 }
 
@@ -94,13 +94,13 @@
         }
     }
     // No single moves close the gap, and nothing is served here anyway: place all anew.
-    let free = group.iter().filter(|h| h.phase != Phase::Waiting);
+    let free = group.iter().filter(|h| h.phase != Phase::Blocked);
     let mut orders = scratch(model, &free.cloned().collect::<Vec<_>>());
     let held = |order: &Order| {
         group
             .iter()
             .find(|h| h.server == order.server)
-            .map(|h| h.held)
+            .map(|h| h.assigned)
     };
     orders.retain(|order| held(order) != Some(order.layers));
     orders
@@ -112,8 +112,8 @@
     let is_served = is_whole(model, group);
     for index in 0..group.len() {
         let may_wait = is_served && group[index].phase == Phase::Joining;
-        let refuses = group[index].phase == Phase::Waiting;
-        if group[index].held.is_empty() && !may_wait && !refuses {
+        let refuses = group[index].phase == Phase::Blocked;
+        if group[index].assigned.is_empty() && !may_wait && !refuses {
             let best = best_range(model, group, index, rooms);
             take(group, &mut orders, index, best);
         }
@@ -139,10 +139,10 @@
     share: f64,
 ) -> bool {
     let is_closed = is_whole(model, group);
-    let before = resistance(model, group);
+    let before = cost(model, group);
     let may_move = |index: &usize| match group[*index].phase {
         Phase::Settled => true,
-        Phase::Waiting => false,
+        Phase::Blocked => false,
         Phase::Joining | Phase::Loading => !is_closed,
     };
     let moves = (0..group.len()).filter(may_move).filter_map(|index| {
@@ -162,7 +162,7 @@
     let Some((layers, _)) = choice else {
         return;
     };
-    group[index].held = layers;
+    group[index].assigned = layers;
     let server = group[index].server.clone();
     orders.retain(|order| order.server != server);
     orders.push(Order::new(server, layers));
@@ -188,12 +188,12 @@
     for count in counts {
         for start in 0..=model.layers - count.min(model.layers) {
             let mut moved = holder.clone();
-            moved.held = Range::new(start, start + count);
+            moved.assigned = Range::new(start, start + count);
             let mut layers = others.clone();
             layers.add(model, &moved, 1.0);
-            let left = layers.resistance();
+            let left = layers.cost();
             if best.is_none_or(|(_, least)| left < least) {
-                best = Some((moved.held, left));
+                best = Some((moved.assigned, left));
             }
         }
     }
--- a/crates/core/src/pipeline/placement/rows.rs
+++ b/crates/core/src/pipeline/placement/replicas.rs
@@ -5,7 +5,7 @@
 use super::holder::apply;
 use super::holder::beside;
 use super::layers::capacity;
-use super::mend::round_out;
+use super::repair::round_out;
 use crate::layer::Range;
 use crate::pipeline::model::Model;
 
@@ -25,7 +25,7 @@
 /// times the requests of a slow one with the same memory. Further rows on what is left stand in when
 /// a part dies, and take what the first cannot. Servers that make no complete row any more hold the
 /// layers with the fewest holders.
-pub(super) fn rows(model: &Model, group: &[Holder]) -> Vec<Order> {
+pub(super) fn place(model: &Model, group: &[Holder]) -> Vec<Order> {
     let mut orders = scratch(model, group);
     let placed = apply(group, &orders);
     if capacity(model, &placed) > 0.0 {
@@ -42,25 +42,31 @@
         by_pace.then_with(|| a.server.cmp(&b.server))
     });
     let mut orders: Vec<Order> = Vec::new();
-    while let Some(row) = fast_row(model, &left).or_else(|| last_row(model, &left, &orders)) {
-        left.retain(|holder| row.iter().all(|order| order.server != holder.server));
-        orders.extend(row);
+    while let Some(replica) =
+        fastest_replica(model, &left).or_else(|| remaining_replica(model, &left, &orders))
+    {
+        left.retain(|holder| replica.iter().all(|order| order.server != holder.server));
+        orders.extend(replica);
     }
     orders
 }
 
 /// Makes a row of the fewest servers, from the fastest on, that hold all layers beside their room.
-pub(super) fn fast_row(model: &Model, holders: &[Holder]) -> Option<Vec<Order>> {
+pub(super) fn fastest_replica(model: &Model, holders: &[Holder]) -> Option<Vec<Order>> {
     let fewest = (1..=holders.len()).find(|count| holds(model, &holders[..*count], FAST_ROOM))?;
-    widest(model, &holders[..fewest])
+    widest_replica(model, &holders[..fewest])
 }
 
 /// Makes a row of all servers that are left, if it has room enough or there is no other row.
-pub(super) fn last_row(model: &Model, holders: &[Holder], others: &[Order]) -> Option<Vec<Order>> {
+pub(super) fn remaining_replica(
+    model: &Model,
+    holders: &[Holder],
+    others: &[Order],
+) -> Option<Vec<Order>> {
     if !others.is_empty() && !holds(model, holders, LEAST_ROOM) {
         return None;
     }
-    widest(model, holders)
+    widest_replica(model, holders)
 }
 
 /// Tells whether servers hold all layers with room for `room` tokens at each.
@@ -70,7 +76,7 @@
 }
 
 /// Makes the row of servers that leaves the most room at its fullest part.
-pub(super) fn widest(model: &Model, holders: &[Holder]) -> Option<Vec<Order>> {
+pub(super) fn widest_replica(model: &Model, holders: &[Holder]) -> Option<Vec<Order>> {
     const HALVINGS: usize = 24;
     if !holds(model, holders, 0.0) {
         return None;
@@ -85,12 +91,12 @@
             too_much = room;
         }
     }
-    row(model, holders, fits)
+    replica(model, holders, fits)
 }
 
 /// Makes one row of the first servers, each with room for `room` tokens; `None` when they do not
 /// hold all layers.
-pub(super) fn row(model: &Model, holders: &[Holder], room: f64) -> Option<Vec<Order>> {
+pub(super) fn replica(model: &Model, holders: &[Holder], room: f64) -> Option<Vec<Order>> {
     let mut start = 0;
     let mut orders = Vec::new();
     for holder in holders {
--- a/crates/core/tests/assignments.rs
+++ b/crates/core/tests/assignments.rs
@@ -54,7 +54,7 @@
 #[test]
 fn a_server_with_requests_waits_unless_they_are_broken_off() {
     for (handover, requests, expected) in [
-        (Handover::Drain, 3, Phase::Waiting),
+        (Handover::Drain, 3, Phase::Blocked),
         (Handover::Drain, 0, Phase::Loading),
         (Handover::Break, 3, Phase::Loading),
     ] {
@@ -82,7 +82,7 @@
     orders.give(Instant(0), &order(Handover::Drain), HELD);
 
     assert_eq!(phase(&orders, 2_900, 0), Phase::Loading);
-    assert_eq!(phase(&orders, 2_901, 0), Phase::Waiting);
+    assert_eq!(phase(&orders, 2_901, 0), Phase::Blocked);
 }
 
 /// Loads that share the weight store's rate take as many times longer.
@@ -95,7 +95,7 @@
     }
 
     assert_eq!(phase(&orders, 4_300, 0), Phase::Loading);
-    assert_eq!(phase(&orders, 4_301, 0), Phase::Waiting);
+    assert_eq!(phase(&orders, 4_301, 0), Phase::Blocked);
 }
 
 /// Guards against plans that count on a server which carries out another order first.
@@ -106,7 +106,7 @@
     orders.give(Instant(0), &order, HELD);
 
     orders.refuse(&order);
-    assert_eq!(phase(&orders, 100, 0), Phase::Waiting);
+    assert_eq!(phase(&orders, 100, 0), Phase::Blocked);
     orders.accept(&order);
     assert_eq!(phase(&orders, 100, 0), Phase::Loading);
 }
--- a/crates/core/tests/closing.rs
+++ b/crates/core/tests/closing.rs
@@ -87,7 +87,7 @@
                 .all(|name| **name != *h.server.server.0)
         })
         .collect();
-    let lost = gaps(model.layers, kept.iter().map(|holder| holder.held));
+    let lost = gaps(model.layers, kept.iter().map(|holder| holder.assigned));
     assert!(lost.iter().all(|gap| gap.start >= 54), "{orders:?}");
 }
 
@@ -109,7 +109,7 @@
         "room is to be gained"
     );
 
-    loading.carried = Range::default();
+    loading.serving = Range::default();
     loading.phase = Phase::Loading;
     holders.pop();
     holders.push(loading);
@@ -155,9 +155,9 @@
 #[test]
 fn a_server_that_waits_closes_no_gap_while_there_is_no_path() {
     let mut holders = gap_beside_requests();
-    holders[1].held = Range::new(38, 42);
-    holders[1].carried = Range::default();
-    holders[1].phase = Phase::Waiting;
+    holders[1].assigned = Range::new(38, 42);
+    holders[1].serving = Range::default();
+    holders[1].phase = Phase::Blocked;
     holders.push(holder("other", "l4", (70, 80), 35));
 
     let orders = plan(&model(), &holders);
@@ -170,8 +170,8 @@
 #[test]
 fn a_server_that_waits_gets_no_other_order() {
     let mut holders = gap_beside_requests();
-    holders[1].carried = Range::default();
-    holders[1].phase = Phase::Waiting;
+    holders[1].serving = Range::default();
+    holders[1].phase = Phase::Blocked;
 
     assert_eq!(plan(&model(), &holders), []);
 }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -386,7 +386,7 @@
     let mut model = model();
     model.layers = 20;
     let mut one = holders("a", &[("a100", 1)]);
-    one[0].held = Range::new(0, 20);
+    one[0].assigned = Range::new(0, 20);
     let fleet = fleet(&model, &one);
     let local_zone: Zone = "a".into();
 
--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -40,7 +40,7 @@
 }
 
 fn fits_memory(model: &Model, holder: &Holder) -> bool {
-    f64::from(holder.held.len()) * model.layer_mb <= holder.profile.memory_mb
+    f64::from(holder.assigned.len()) * model.layer_mb <= holder.profile.memory_mb
 }
 
 #[test]
@@ -137,8 +137,8 @@
     let mut left = holders("a", &[("l4", 2)]);
     left[0].profile.memory_mb = 5.0 * model.layer_mb / 0.97;
     left[1].profile = left[0].profile;
-    left[0].held = Range::new(0, 3);
-    left[1].held = Range::new(3, 7);
+    left[0].assigned = Range::new(0, 3);
+    left[1].assigned = Range::new(3, 7);
 
     let mended = settled(&model, &left);
 
@@ -159,8 +159,8 @@
         .unwrap();
     holders.push(Holder {
         server: "new".into(),
-        held: Range::default(),
-        carried: Range::default(),
+        assigned: Range::default(),
+        serving: Range::default(),
         phase: Phase::Joining,
         ..leaver.clone()
     });
@@ -174,7 +174,7 @@
 
     assert_eq!(orders.len(), 1);
     assert_eq!(&*orders[0].server.server.0, "new");
-    assert!(orders[0].layers.start <= leaver.held.start + 3);
+    assert!(orders[0].layers.start <= leaver.assigned.start + 3);
 }
 
 /// A server that loads is not sent elsewhere while its zone serves.
@@ -241,8 +241,8 @@
         let model = model();
         let placed = carried_out(&holders, &plan(&model, &holders));
         for (before, after) in holders.iter().zip(&placed) {
-            prop_assert!(before.held == after.held || fits_memory(&model, after));
-            prop_assert!(after.held.end <= model.layers);
+            prop_assert!(before.assigned == after.assigned || fits_memory(&model, after));
+            prop_assert!(after.assigned.end <= model.layers);
         }
     }
 
--- a/crates/core/tests/support/pipeline.rs
+++ b/crates/core/tests/support/pipeline.rs
@@ -78,8 +78,8 @@
     let mut holders = holders.to_vec();
     for order in orders {
         for holder in holders.iter_mut().filter(|h| h.server == order.server) {
-            holder.held = order.layers;
-            holder.carried = order.layers;
+            holder.assigned = order.layers;
+            holder.serving = order.layers;
         }
     }
     holders
@@ -87,14 +87,14 @@
 
 /// The fleet that holders make up.
 pub fn fleet(model: &Model, holders: &[Holder]) -> Fleet {
-    let holding = holders.iter().filter(|holder| !holder.held.is_empty());
+    let holding = holders.iter().filter(|holder| !holder.assigned.is_empty());
     let candidates = holding.enumerate().map(|(index, holder)| Candidate {
         server: holder.server.clone(),
         address: ([10, 0, 0, index as u8], 8000).into(),
         zone: holder.zone.clone(),
-        held: holder.held,
+        held: holder.assigned,
         profile: holder.profile,
-        kv_capacity: model.kv_capacity(holder.profile, holder.held.len()),
+        kv_capacity: model.kv_capacity(holder.profile, holder.assigned.len()),
     });
     Fleet::new(Arc::new(model.clone()), candidates.collect())
 }
--- a/crates/core/tests/support/servers.rs
+++ b/crates/core/tests/support/servers.rs
@@ -166,7 +166,7 @@
             let count = random.random_range(0..=most);
             let start = random.random_range(0..=model.layers - count);
             if count > 0 {
-                holder.held = Range::new(start, start + count);
+                holder.assigned = Range::new(start, start + count);
             }
         }
         let mut site = Self::of(model, all, random);
@@ -190,16 +190,16 @@
             let mut passing = Vec::new();
             for _ in 0..random.random_range(0..12) {
                 passing.push(Passing {
-                    layers: holder.held,
+                    layers: holder.assigned,
                     ends: random.random_range(0..RUNS_MS),
                     is_known: random.random_bool(0.5),
                 });
             }
-            if holder.held.is_empty() {
+            if holder.assigned.is_empty() {
                 passing.clear();
             }
             servers.push(Server {
-                held: holder.held,
+                held: holder.assigned,
                 holder,
                 passing,
                 moving: None,
@@ -277,8 +277,8 @@
             let loads = self.orders.len();
             let phase = order.map(|o| o.phase(Instant(now), requests, model, loads));
             Holder {
-                held: order.map_or(carried, |order| order.layers),
-                carried,
+                assigned: order.map_or(carried, |order| order.layers),
+                serving: carried,
                 requests,
                 phase: phase.unwrap_or(Phase::Settled),
                 ..server.holder.clone()
@@ -296,14 +296,14 @@
     fn give(&mut self, now: u64) {
         let due = self.to_give.iter().filter(|(_, (at, _))| *at <= now);
         let due: Vec<Order> = due.map(|(_, (_, order))| order.clone()).collect();
-        let is_dark = !self.servers.carries();
+        let is_unserved = !self.servers.carries();
         for order in due {
             if !self.orders.is_wanted(&order) {
                 self.to_give.remove(&order.server);
                 continue;
             }
             let given = Order {
-                handover: order.handover_now(is_dark),
+                handover: order.handover_now(is_unserved),
                 ..order.clone()
             };
             if self.servers.order(&given) {
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -255,7 +255,7 @@
                 continue;
             };
             let holders = self.holders(service, model);
-            let is_first = holders.iter().all(|holder| holder.held.is_empty());
+            let is_first = holders.iter().all(|holder| holder.assigned.is_empty());
             if is_first && !is_settled {
                 continue;
             }
@@ -298,8 +298,8 @@
                 server: server.incarnation.clone(),
                 zone: server.zone.clone(),
                 profile,
-                held: order.map_or(server.held, |order| order.layers),
-                carried: server.held,
+                assigned: order.map_or(server.held, |order| order.layers),
+                serving: server.held,
                 requests,
                 phase,
             })
