--- a/crates/core/src/pipeline/summary.rs
+++ b/crates/core/src/pipeline/summary.rs
@@ -21,29 +21,29 @@
 /// # use jujube_core::pipeline::load::Usage;
 /// # use jujube_core::pipeline::summary::Summary;
 /// let used = |requests| Usage { tokens: 100.0, requests };
-/// let mut all = Summary { entries: 1, used: [("a".into(), used(2))].into(), ..Summary::default() };
-/// all.add(&Summary { entries: 1, used: [("a".into(), used(1))].into(), ..Summary::default() });
+/// let mut all = Summary { entries: 1, usage: [("a".into(), used(2))].into(), ..Summary::default() };
+/// all.add(&Summary { entries: 1, usage: [("a".into(), used(1))].into(), ..Summary::default() });
 /// assert_eq!(all.entries, 2);
-/// assert_eq!(all.used[&"a".into()], Usage { tokens: 200.0, requests: 3 });
+/// assert_eq!(all.usage[&"a".into()], Usage { tokens: 200.0, requests: 3 });
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
     /// How many entries it is of.
     pub entries: u64,
     /// How many of them the store answers.
-    pub served: u64,
+    pub with_store: u64,
     /// The lowest address of those that could give orders.
     pub ready: Option<SocketAddr>,
     /// Who gives orders, under which fencing number.
     pub planner: Option<(Token, SocketAddr)>,
     /// What is in flight.
-    pub used: BTreeMap<Incarnation, Usage>,
+    pub usage: BTreeMap<Incarnation, Usage>,
     /// How requests ended.
-    pub ended: BTreeMap<Incarnation, Tally>,
+    pub outcomes: BTreeMap<Incarnation, Tally>,
     /// How many times slower than usual servers say they are.
-    pub slow: BTreeMap<Incarnation, f64>,
+    pub slowness: BTreeMap<Incarnation, f64>,
     /// Servers that refuse requests, and for how long that is believed.
-    pub full: BTreeMap<Incarnation, Span>,
+    pub refusing: BTreeMap<Incarnation, Span>,
     /// Servers that are suspected, and by how many entries.
     pub suspects: BTreeMap<Incarnation, u64>,
     /// What servers told the planner that they hold, while the store is away.
@@ -62,26 +62,26 @@
     /// told on, so those that have run out meanwhile are left out.
     pub fn add_old(&mut self, other: &Self, age: Span) {
         self.entries += other.entries;
-        self.served += other.served;
+        self.with_store += other.with_store;
         let ready = self.ready.into_iter().chain(other.ready);
         self.ready = ready.min();
         self.planner = self.planner.max(other.planner);
-        for (server, used) in &other.used {
-            let sum = self.used.entry(server.clone()).or_default();
+        for (server, used) in &other.usage {
+            let sum = self.usage.entry(server.clone()).or_default();
             sum.tokens += used.tokens;
             sum.requests += used.requests;
         }
-        for (server, tally) in &other.ended {
-            let sum = self.ended.entry(server.clone()).or_default();
+        for (server, tally) in &other.outcomes {
+            let sum = self.outcomes.entry(server.clone()).or_default();
             sum.good += tally.good;
             sum.bad += tally.bad;
         }
-        for (server, slowness) in &other.slow {
-            let most = self.slow.entry(server.clone()).or_default();
+        for (server, slowness) in &other.slowness {
+            let most = self.slowness.entry(server.clone()).or_default();
             *most = most.max(*slowness);
         }
-        for (server, lasts) in other.full.iter().filter(|(_, lasts)| **lasts > age) {
-            let longest = self.full.entry(server.clone()).or_default();
+        for (server, lasts) in other.refusing.iter().filter(|(_, lasts)| **lasts > age) {
+            let longest = self.refusing.entry(server.clone()).or_default();
             *longest = (*longest).max(Span(lasts.0 - age.0));
         }
         for (server, entries) in &other.suspects {
--- a/crates/core/tests/cells.rs
+++ b/crates/core/tests/cells.rs
@@ -64,8 +64,8 @@
     };
     Summary {
         entries: 1,
-        served: 1,
-        used: [used(number), used(number + 1)].into(),
+        with_store: 1,
+        usage: [used(number), used(number + 1)].into(),
         ..Summary::default()
     }
 }
--- a/crates/core/tests/outlier.rs
+++ b/crates/core/tests/outlier.rs
@@ -42,11 +42,11 @@
         for (_, tallies) in told.iter().enumerate().filter(|(other, _)| *other != index) {
             let ended = tallies.iter().cloned().collect();
             sum.add(&Summary {
-                ended,
+                outcomes: ended,
                 ..Summary::default()
             });
         }
-        entry.set_others(sum.ended);
+        entry.set_others(sum.outcomes);
         entry.judge(now);
     }
 }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -402,14 +402,14 @@
 fn the_load_of_others_is_what_each_said_last() {
     let word = |tokens: f64, requests: u64| Summary {
         entries: 1,
-        used: [("s".into(), Usage { tokens, requests })].into(),
+        usage: [("s".into(), Usage { tokens, requests })].into(),
         ..Summary::default()
     };
     let (mut load, mut board) = (Load::default(), Board::default());
     let mut hear = |board: &mut Board, now, teller, word| {
         board.hear(Instant(now), teller, Scope::Own, Portion::default(), word);
         let others = board.others(Instant(now));
-        load.set_others(others.entries, others.used);
+        load.set_others(others.entries, others.usage);
         (
             load.tokens(&"s".into()),
             load.requests(&"s".into()),
@@ -421,7 +421,7 @@
     assert_eq!(hear(&mut board, 200, "x", word(30.0, 1)), (80.0, 2, 2));
 
     board.expire(Instant(1_350));
-    assert_eq!(board.others(Instant(1_350)).used[&"s".into()].tokens, 30.0);
+    assert_eq!(board.others(Instant(1_350)).usage[&"s".into()].tokens, 30.0);
 
     board.expire(Instant(60_000));
     assert_eq!(board.others(Instant(60_000)), Summary::default());
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -162,16 +162,16 @@
 fn facts(summary: &Summary) -> Vec<(Start, Fact)> {
     let mut facts: Vec<(Start, Fact)> = Vec::new();
     let mut add = |server: &Incarnation, fact: Fact| facts.push((server.into(), fact));
-    for (server, used) in &summary.used {
+    for (server, used) in &summary.usage {
         add(server, used.into());
     }
-    for (server, tally) in &summary.ended {
+    for (server, tally) in &summary.outcomes {
         add(server, tally.into());
     }
-    for (server, slowness) in &summary.slow {
+    for (server, slowness) in &summary.slowness {
         add(server, Fact::Slow(*slowness as f32));
     }
-    for (server, lasts) in &summary.full {
+    for (server, lasts) in &summary.refusing {
         add(server, Fact::Full(lasts.0 as u32));
     }
     for (server, entries) in &summary.suspects {
@@ -222,7 +222,11 @@
             number,
             last: portions - 1,
             entries: if is_first { summary.entries as u32 } else { 0 },
-            served: if is_first { summary.served as u32 } else { 0 },
+            served: if is_first {
+                summary.with_store as u32
+            } else {
+                0
+            },
             ready: summary.ready.filter(|_| is_first),
             planner: summary
                 .planner
@@ -248,7 +252,7 @@
     let planner = message.planner.map(|(token, at)| (Token(token), at));
     let mut summary = Summary {
         entries: u64::from(message.entries),
-        served: u64::from(message.served),
+        with_store: u64::from(message.served),
         ready: message.ready,
         planner,
         ..Summary::default()
@@ -275,20 +279,20 @@
                 tokens: figure(tokens)?,
                 requests: u64::from(requests),
             };
-            summary.used.insert(server, used);
+            summary.usage.insert(server, used);
         }
         Fact::Ended { good, bad } => {
             let tally = Tally {
                 good: figure(good)?,
                 bad: figure(bad)?,
             };
-            summary.ended.insert(server, tally);
+            summary.outcomes.insert(server, tally);
         }
         Fact::Slow(slowness) => {
-            summary.slow.insert(server, figure(slowness)?);
+            summary.slowness.insert(server, figure(slowness)?);
         }
         Fact::Full(lasts) => {
-            summary.full.insert(server, Span(u64::from(lasts)));
+            summary.refusing.insert(server, Span(u64::from(lasts)));
         }
         Fact::Suspected(entries) => {
             summary.suspects.insert(server, u64::from(entries));
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -143,13 +143,13 @@
     let ordered = ordered.iter().filter(|_| token.is_some());
     Summary {
         entries: 1,
-        served: u64::from(!state.is_store_away()),
+        with_store: u64::from(!state.is_store_away()),
         ready: state.is_ready().then_some(address),
         planner: token.map(|token| (token, address)),
-        used: owned(load.own().map(|(server, used)| (server, *used))),
-        ended: owned(outliers.own(now)),
-        slow: owned(load.slow(now)),
-        full: owned(load.refusals.own(now)),
+        usage: owned(load.own().map(|(server, used)| (server, *used))),
+        outcomes: owned(outliers.own(now)),
+        slowness: owned(load.slow(now)),
+        refusing: owned(load.refusals.own(now)),
         suspects: suspects.collect(),
         held: state.told.borrow().clone(),
         ordered: owned(ordered.map(|(server, layers)| (server, *layers))),
@@ -192,10 +192,10 @@
         take_planner(state, address, &heard.scope, &summary);
     }
     let mut load = state.load.borrow_mut();
-    for (server, lasts) in &summary.full {
+    for (server, lasts) in &summary.refusing {
         load.refusals.hear(now, server.clone(), *lasts);
     }
-    for (server, slowness) in &summary.slow {
+    for (server, slowness) in &summary.slowness {
         load.reported(now, server, *slowness);
     }
     drop(load);
@@ -227,11 +227,13 @@
     board.expire(now);
     let others = board.others(now);
     drop(board);
-    state.peers.set(others.entries, others.served, others.ready);
+    state
+        .peers
+        .set(others.entries, others.with_store, others.ready);
     let mut load = state.load.borrow_mut();
-    load.set_others(others.entries, others.used);
+    load.set_others(others.entries, others.usage);
     drop(load);
-    state.outliers.borrow_mut().set_others(others.ended);
+    state.outliers.borrow_mut().set_others(others.outcomes);
     if others.planner.is_some() && state.leadership.own().is_none() {
         state.ordered.replace(others.ordered);
     }
