--- a/crates/core/src/pipeline/assignment.rs
+++ b/crates/core/src/pipeline/assignment.rs
@@ -76,8 +76,8 @@
 /// # use jujube_core::time::Instant;
 /// let mut orders = Assignments::default();
 /// let order = Order::new("a".into(), Range::new(0, 8));
-/// assert!(orders.give(Instant(0), &order, Range::default()));
-/// assert!(!orders.give(Instant(10), &order, Range::default()), "it is under way");
+/// assert!(orders.record(Instant(0), &order, Range::default()));
+/// assert!(!orders.record(Instant(10), &order, Range::default()), "it is under way");
 /// assert_eq!(orders.accepted(), BTreeMap::new());
 /// orders.accept(&order);
 /// assert_eq!(orders.accepted(), BTreeMap::from([("a".into(), Range::new(0, 8))]));
@@ -113,7 +113,7 @@
     }
 
     /// Books an order to a server that holds other layers; `false` when it was given already.
-    pub fn give(&mut self, now: Instant, order: &Order, held: Range) -> bool {
+    pub fn record(&mut self, now: Instant, order: &Order, held: Range) -> bool {
         let assignment = Assignment {
             layers: order.layers,
             before: held,
@@ -149,7 +149,7 @@
 
     /// Tells whether an order is the last one for its server.
     #[must_use]
-    pub fn is_wanted(&self, order: &Order) -> bool {
+    pub fn is_latest(&self, order: &Order) -> bool {
         let last = self.given.get(&order.server);
         last.is_some_and(|last| last.layers == order.layers)
     }
--- a/crates/core/src/pipeline/board.rs
+++ b/crates/core/src/pipeline/board.rs
@@ -59,7 +59,7 @@
 
     fn add_to(&self, sum: &mut Summary, now: Instant) {
         for word in self.0.values() {
-            sum.add_old(&word.summary, now.since(word.at));
+            sum.merge_aged(&word.summary, now.since(word.at));
         }
     }
 }
--- a/crates/core/src/pipeline/load.rs
+++ b/crates/core/src/pipeline/load.rs
@@ -28,9 +28,9 @@
 /// ```
 /// # use jujube_core::pipeline::load::Load;
 /// let mut load = Load::default();
-/// load.open(&"a".into(), 800.0);
+/// load.start_request(&"a".into(), 800.0);
 /// assert_eq!(load.tokens(&"a".into()), 800.0);
-/// load.close(&"a".into(), 800.0);
+/// load.end_request(&"a".into(), 800.0);
 /// assert_eq!(load.requests(&"a".into()), 0);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -45,9 +45,9 @@
     /// Servers that refused requests.
     pub refusals: Refusals,
     /// How many times slower than usual servers said they are, and when.
-    slow: BTreeMap<Incarnation, (f64, Instant)>,
+    slowness: BTreeMap<Incarnation, (f64, Instant)>,
     /// The same of those that said so to this entry.
-    told_slow: BTreeMap<Incarnation, (f64, Instant)>,
+    direct_slowness: BTreeMap<Incarnation, (f64, Instant)>,
 }
 
 /// How long a server's word that it is slow counts; then a few requests find out how it is now.
@@ -57,14 +57,14 @@
 
 impl Load {
     /// Books a request at a server.
-    pub fn open(&mut self, server: &Incarnation, tokens: f64) {
+    pub fn start_request(&mut self, server: &Incarnation, tokens: f64) {
         let used = self.own.entry(server.clone()).or_default();
         used.tokens += tokens;
         used.requests += 1;
     }
 
     /// Books its end.
-    pub fn close(&mut self, server: &Incarnation, tokens: f64) {
+    pub fn end_request(&mut self, server: &Incarnation, tokens: f64) {
         let Some(used) = self.own.get_mut(server) else {
             return;
         };
@@ -76,16 +76,16 @@
     }
 
     /// Books a request of `tokens` tokens on every part of a path.
-    pub fn open_path(&mut self, path: &Path, tokens: f64) {
+    pub fn start_path(&mut self, path: &Path, tokens: f64) {
         for part in path.parts() {
-            self.open(&part.server, tokens * f64::from(part.layers.len()));
+            self.start_request(&part.server, tokens * f64::from(part.layers.len()));
         }
     }
 
     /// Books its end.
-    pub fn close_path(&mut self, path: &Path, tokens: f64) {
+    pub fn end_path(&mut self, path: &Path, tokens: f64) {
         for part in path.parts() {
-            self.close(&part.server, tokens * f64::from(part.layers.len()));
+            self.end_request(&part.server, tokens * f64::from(part.layers.len()));
         }
     }
 
@@ -97,35 +97,36 @@
     }
 
     /// Books how many times slower than usual a server says it is.
-    pub fn reported(&mut self, now: Instant, server: &Incarnation, slowness: f64) {
-        self.slow.retain(|_, (_, at)| now.since(*at) <= SLOW);
+    pub fn record_slowness(&mut self, now: Instant, server: &Incarnation, slowness: f64) {
+        self.slowness.retain(|_, (_, at)| now.since(*at) <= SLOW);
         if slowness > 1.0 {
-            self.slow.insert(server.clone(), (slowness, now));
+            self.slowness.insert(server.clone(), (slowness, now));
         } else {
-            self.slow.remove(server);
+            self.slowness.remove(server);
         }
     }
 
     /// Returns who said a moment ago that it is slow, and how many times, to tell the others.
-    pub fn slow(&self, now: Instant) -> impl Iterator<Item = (&Incarnation, f64)> {
+    pub fn recent_slowness(&self, now: Instant) -> impl Iterator<Item = (&Incarnation, f64)> {
         let fresh = self
-            .told_slow
+            .direct_slowness
             .iter()
             .filter(move |(_, (_, at))| now.since(*at) <= TOLD);
         fresh.map(|(server, (slowness, _))| (server, *slowness))
     }
 
     /// Books how many times slower than usual a server told this entry that it is.
-    pub fn asked(&mut self, now: Instant, server: &Incarnation, slowness: f64) {
-        self.reported(now, server, slowness);
-        self.told_slow.retain(|_, (_, at)| now.since(*at) <= TOLD);
-        self.told_slow.insert(server.clone(), (slowness, now));
+    pub fn record_direct_slowness(&mut self, now: Instant, server: &Incarnation, slowness: f64) {
+        self.record_slowness(now, server, slowness);
+        self.direct_slowness
+            .retain(|_, (_, at)| now.since(*at) <= TOLD);
+        self.direct_slowness.insert(server.clone(), (slowness, now));
     }
 
     /// Returns how many times slower than usual a server is.
     #[must_use]
     pub fn slowness(&self, now: Instant, server: &Incarnation) -> f64 {
-        let known = self.slow.get(server);
+        let known = self.slowness.get(server);
         let fresh = known.filter(|(_, at)| now.since(*at) <= SLOW);
         fresh.map_or(1.0, |(slowness, _)| *slowness)
     }
@@ -144,12 +145,12 @@
 
     /// Tells whether this entry has requests in flight at a server.
     #[must_use]
-    pub fn has_own(&self, server: &Incarnation) -> bool {
+    pub fn has_own_requests(&self, server: &Incarnation) -> bool {
         self.own.contains_key(server)
     }
 
     /// Returns what this entry has in flight, to tell the others.
-    pub fn own(&self) -> impl Iterator<Item = (&Incarnation, &Usage)> {
+    pub fn own_usage(&self) -> impl Iterator<Item = (&Incarnation, &Usage)> {
         self.own.iter()
     }
 
--- a/crates/core/src/pipeline/placement/holder.rs
+++ b/crates/core/src/pipeline/placement/holder.rs
@@ -94,7 +94,7 @@
     ///
     /// Planned while there was no path, it may be given again, after a refusal, when there is one.
     #[must_use]
-    pub fn handover_now(&self, is_unserved: bool) -> Handover {
+    pub fn effective_handover(&self, is_unserved: bool) -> Handover {
         match is_unserved {
             true => self.handover,
             false => Handover::Drain,
--- a/crates/core/src/pipeline/summary.rs
+++ b/crates/core/src/pipeline/summary.rs
@@ -22,7 +22,7 @@
 /// # use jujube_core::pipeline::summary::Summary;
 /// let used = |requests| Usage { tokens: 100.0, requests };
 /// let mut all = Summary { entries: 1, usage: [("a".into(), used(2))].into(), ..Summary::default() };
-/// all.add(&Summary { entries: 1, usage: [("a".into(), used(1))].into(), ..Summary::default() });
+/// all.merge(&Summary { entries: 1, usage: [("a".into(), used(1))].into(), ..Summary::default() });
 /// assert_eq!(all.entries, 2);
 /// assert_eq!(all.usage[&"a".into()], Usage { tokens: 200.0, requests: 3 });
 /// ```
@@ -54,13 +54,13 @@
 
 impl Summary {
     /// Adds what other entries know.
-    pub fn add(&mut self, other: &Self) {
-        self.add_old(other, Span(0));
+    pub fn merge(&mut self, other: &Self) {
+        self.merge_aged(other, Span(0));
     }
 
     /// Adds what other entries knew some time ago. Refusals are believed until a moment, however often they are
     /// told on, so those that have run out meanwhile are left out.
-    pub fn add_old(&mut self, other: &Self, age: Span) {
+    pub fn merge_aged(&mut self, other: &Self, age: Span) {
         self.entries += other.entries;
         self.with_store += other.with_store;
         let ready = self.ready.into_iter().chain(other.ready);
--- a/crates/core/tests/assignments.rs
+++ b/crates/core/tests/assignments.rs
@@ -38,8 +38,8 @@
         Order::new("b".into(), Range::new(0, 8)),
     );
     let mut orders = Assignments::default();
-    orders.give(Instant(0), &accepted, HELD);
-    orders.give(Instant(0), &lost, HELD);
+    orders.record(Instant(0), &accepted, HELD);
+    orders.record(Instant(0), &lost, HELD);
     orders.accept(&accepted);
 
     let next = Assignments::inherited(Instant(9), &orders.accepted());
@@ -59,7 +59,7 @@
         (Handover::Break, 3, Phase::Loading),
     ] {
         let mut orders = Assignments::default();
-        orders.give(Instant(0), &order(handover), HELD);
+        orders.record(Instant(0), &order(handover), HELD);
 
         assert_eq!(phase(&orders, 100, requests), expected, "{handover:?}");
     }
@@ -70,7 +70,7 @@
     let mut orders = Assignments::default();
     let added = Order::new("a".into(), Range::new(0, 16));
 
-    orders.give(Instant(0), &added, HELD);
+    orders.record(Instant(0), &added, HELD);
 
     assert_eq!(phase(&orders, 100, 3), Phase::Loading);
 }
@@ -79,7 +79,7 @@
 #[test]
 fn a_load_that_is_overdue_counts_as_held_up() {
     let mut orders = Assignments::default();
-    orders.give(Instant(0), &order(Handover::Drain), HELD);
+    orders.record(Instant(0), &order(Handover::Drain), HELD);
 
     assert_eq!(phase(&orders, 2_900, 0), Phase::Loading);
     assert_eq!(phase(&orders, 2_901, 0), Phase::Blocked);
@@ -91,7 +91,7 @@
     let mut orders = Assignments::default();
     for server in ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"] {
         let order = Order::new(server.into(), Range::new(8, 16));
-        orders.give(Instant(0), &order, HELD);
+        orders.record(Instant(0), &order, HELD);
     }
 
     assert_eq!(phase(&orders, 4_300, 0), Phase::Loading);
@@ -103,7 +103,7 @@
 fn a_refused_order_waits_until_it_is_accepted() {
     let mut orders = Assignments::default();
     let order = order(Handover::Break);
-    orders.give(Instant(0), &order, HELD);
+    orders.record(Instant(0), &order, HELD);
 
     orders.refuse(&order);
     assert_eq!(phase(&orders, 100, 0), Phase::Blocked);
@@ -115,7 +115,7 @@
 fn an_order_that_shows_is_told_once_and_dropped() {
     let mut orders = Assignments::default();
     let order = order(Handover::Drain);
-    orders.give(Instant(0), &order, HELD);
+    orders.record(Instant(0), &order, HELD);
 
     let early = orders.settle(Instant(100), |_| Some(HELD));
     let shown = orders.settle(Instant(700), |_| Some(order.layers));
--- a/crates/core/tests/cells.rs
+++ b/crates/core/tests/cells.rs
@@ -194,14 +194,14 @@
     fn known(&self, number: usize) -> Summary {
         let entry = &self.entries[number];
         let mut all = entry.board.others(Instant(self.now));
-        all.add(&entry.word);
+        all.merge(&entry.word);
         all
     }
 
     fn total(&self) -> Summary {
         let mut all = Summary::default();
         let alive = self.entries.iter().filter(|entry| entry.is_alive);
-        alive.for_each(|entry| all.add(&entry.word));
+        alive.for_each(|entry| all.merge(&entry.word));
         all
     }
 }
--- a/crates/core/tests/incarnations.rs
+++ b/crates/core/tests/incarnations.rs
@@ -190,8 +190,8 @@
     let mut suspicion = Suspicion::default();
     let mut outliers = Outliers::default();
     let (now, earlier, later) = (Instant(0), start(EARLIER), start(LATER));
-    load.open(&earlier, 50_000.0);
-    load.reported(now, &earlier, 5.0);
+    load.start_request(&earlier, 50_000.0);
+    load.record_slowness(now, &earlier, 5.0);
     load.refusals.refused(now, &earlier);
     load.backlog.add(now, &earlier, 400.0);
     suspicion.accuse(now, &earlier);
--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -76,7 +76,7 @@
 fn load(path: &Path, dead: &Incarnation) -> Load {
     let mut load = Load::default();
     for _ in 0..STREAMS {
-        load.open_path(path, DEMAND.tokens());
+        load.start_path(path, DEMAND.tokens());
     }
     load.set_others(ENTRIES as u64 - 1, told(path).into_iter().collect());
     load.server_lost(NOW, dead);
--- a/crates/core/tests/outlier.rs
+++ b/crates/core/tests/outlier.rs
@@ -41,7 +41,7 @@
         let mut sum = Summary::default();
         for (_, tallies) in told.iter().enumerate().filter(|(other, _)| *other != index) {
             let ended = tallies.iter().cloned().collect();
-            sum.add(&Summary {
+            sum.merge(&Summary {
                 outcomes: ended,
                 ..Summary::default()
             });
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -110,7 +110,7 @@
         let local_zone = &homes[number % homes.len()];
         let choice = fleet.choose(DEMAND, &world.context(local_zone)).unwrap();
         assert!(!choice.lacks_capacity(), "stream {number} finds no room");
-        world.load.open_path(&choice.path, DEMAND.tokens());
+        world.load.start_path(&choice.path, DEMAND.tokens());
     }
 }
 
@@ -223,7 +223,7 @@
     let first = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
     let server = first.path.first().unwrap().server.clone();
 
-    world.load.reported(Instant(0), &server, 12.0);
+    world.load.record_slowness(Instant(0), &server, 12.0);
 
     let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
     assert!(!choice.path.contains(&server));
--- a/crates/core/tests/support/servers.rs
+++ b/crates/core/tests/support/servers.rs
@@ -287,7 +287,7 @@
         let holders: Vec<Holder> = holders.collect();
         for order in plan(&self.servers.model, &holders) {
             let known = known[&order.server];
-            if self.orders.give(Instant(now), &order, known) {
+            if self.orders.record(Instant(now), &order, known) {
                 self.to_give.insert(order.server.clone(), (now, order));
             }
         }
@@ -298,12 +298,12 @@
         let due: Vec<Order> = due.map(|(_, (_, order))| order.clone()).collect();
         let is_unserved = !self.servers.carries();
         for order in due {
-            if !self.orders.is_wanted(&order) {
+            if !self.orders.is_latest(&order) {
                 self.to_give.remove(&order.server);
                 continue;
             }
             let given = Order {
-                handover: order.handover_now(is_unserved),
+                handover: order.effective_handover(is_unserved),
                 ..order.clone()
             };
             if self.servers.order(&given) {
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -146,9 +146,9 @@
         with_store: u64::from(!state.is_store_away()),
         ready: state.is_ready().then_some(address),
         planner: token.map(|token| (token, address)),
-        usage: owned(load.own().map(|(server, used)| (server, *used))),
+        usage: owned(load.own_usage().map(|(server, used)| (server, *used))),
         outcomes: owned(outliers.own(now)),
-        slowness: owned(load.slow(now)),
+        slowness: owned(load.recent_slowness(now)),
         refusing: owned(load.refusals.own(now)),
         suspects: suspects.collect(),
         held: state.told.borrow().clone(),
@@ -196,7 +196,7 @@
         load.refusals.hear(now, server.clone(), *lasts);
     }
     for (server, slowness) in &summary.slowness {
-        load.reported(now, server, *slowness);
+        load.record_slowness(now, server, *slowness);
     }
     drop(load);
     let mut board = state.peers.board.borrow_mut();
@@ -263,7 +263,7 @@
 /// The others find out by their own requests, or prefer other servers as long as it is suspected. Asked by all, a
 /// death was a hundred questions and connections at once, and each false alarm as many.
 fn ask<D: Dialect>(state: &Rc<State<D>>, server: Incarnation) {
-    let is_used = state.load.borrow().has_own(&server);
+    let is_used = state.load.borrow().has_own_requests(&server);
     if !is_used || state.suspicion.borrow().holds(&server) {
         return;
     }
--- a/crates/front/src/planner/order.rs
+++ b/crates/front/src/planner/order.rs
@@ -33,7 +33,7 @@
         let is_new = self
             .orders
             .borrow_mut()
-            .give(clock::now(), &order, known.held);
+            .record(clock::now(), &order, known.held);
         if !is_new {
             return;
         }
@@ -50,7 +50,7 @@
                 tokio::time::sleep(AGAIN).await;
                 continue;
             }
-            let handover = order.handover_now(self.is_dark(&order));
+            let handover = order.effective_handover(self.is_dark(&order));
             let sent = self.send(&order, handover, address, known);
             let answer = tokio::time::timeout(ANSWER, sent).await;
             let outcome = match &answer {
@@ -136,7 +136,7 @@
 
     /// Tells whether an order is still the last one for its server.
     fn is_wanted(&self, order: &Order) -> bool {
-        !self.is_over.get() && self.orders.borrow().is_wanted(order)
+        !self.is_over.get() && self.orders.borrow().is_latest(order)
     }
 
     async fn send(
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -217,7 +217,7 @@
                         follow::take_held(&self.state, &server, held);
                     }
                     let mut load = self.state.load.borrow_mut();
-                    load.asked(clock::now(), &server, report.slowness);
+                    load.record_direct_slowness(clock::now(), &server, report.slowness);
                 }
             }
             if !self.state.roster.borrow().is_store_away() {
--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -191,7 +191,7 @@
     match answer {
         Ok(report) => {
             let mut load = state.load.borrow_mut();
-            load.asked(at, server, report.slowness);
+            load.record_direct_slowness(at, server, report.slowness);
         }
         Err(error) => {
             state.accuse(server, &format!("{error:#}").replace(' ', "-"));
--- a/crates/front/src/stream/booking.rs
+++ b/crates/front/src/stream/booking.rs
@@ -61,10 +61,10 @@
     let mut load = state.load.borrow_mut();
     let tokens = stream.need.tokens();
     if let Some(path) = &path {
-        load.open_path(path, tokens);
+        load.start_path(path, tokens);
     }
     if let Some(old) = stream.path.replace(path) {
-        load.close_path(&old, tokens);
+        load.end_path(&old, tokens);
     }
 }
 
@@ -76,7 +76,7 @@
 pub fn leave_path<D>(state: &State<D>, stream: &Stream) {
     if let Some(left) = stream.path.take() {
         let mut load = state.load.borrow_mut();
-        load.close_path(&left, stream.need.tokens());
+        load.end_path(&left, stream.need.tokens());
         stream.left.replace(Some(left));
     }
 }
@@ -111,7 +111,7 @@
     pub(super) fn release(&mut self) {
         if let Some(path) = self.path.take() {
             let tokens = self.stream.need.tokens();
-            self.state.load.borrow_mut().close_path(&path, tokens);
+            self.state.load.borrow_mut().end_path(&path, tokens);
         }
     }
 
--- a/crates/front/src/whole.rs
+++ b/crates/front/src/whole.rs
@@ -380,7 +380,7 @@
 
 impl<'a, D> Booked<'a, D> {
     fn new(state: &'a Rc<State<D>>, server: &Incarnation) -> Self {
-        state.load.borrow_mut().open(server, 0.0);
+        state.load.borrow_mut().start_request(server, 0.0);
         Self {
             state,
             server: server.clone(),
@@ -390,6 +390,6 @@
 
 impl<D> Drop for Booked<'_, D> {
     fn drop(&mut self) {
-        self.state.load.borrow_mut().close(&self.server, 0.0);
+        self.state.load.borrow_mut().end_request(&self.server, 0.0);
     }
 }
