--- a/crates/core/src/pipeline/chooser/mod.rs
+++ b/crates/core/src/pipeline/chooser/mod.rs
@@ -140,7 +140,7 @@
 pub struct Choice {
     /// The path.
     pub path: Path,
-    /// The predicted time, in milliseconds; over [`Choice::is_forced`]'s bound it was the last
+    /// The predicted time, in milliseconds; over [`Choice::is_last_resort`]'s bound it was the last
     /// resort.
     pub cost_ms: f64,
     /// How soon the parts that must read the request's tokens are predicted to have done so, in
@@ -304,7 +304,7 @@
 
     /// Books what a request that takes `path` gives servers to read; parts of `old` have read it.
     ///
-    /// `crowd` is how many requests this one stands for, see [`crate::pipeline::backlog::Backlog::crowd`].
+    /// `herd_size` is how many requests this one stands for, see [`crate::pipeline::backlog::Backlog::herd_size`].
     pub fn record_prefill(
         &self,
         load: &mut Load,
