--- a/crates/core/src/pipeline/model.rs
+++ b/crates/core/src/pipeline/model.rs
@@ -119,7 +119,7 @@
     ///     step_ms: 1.0,
     ///     prefill_tokens_per_second: 100_000.0,
     ///     prefill_chunk: 500.0,
-    ///     ..Engine::default()
+    ///     ..Model::default()
     /// };
     /// let profile = Profile { memory_mb: 0.0, step_factor: 16.0, prefill_factor: 8.0 };
     /// assert_eq!(model.prefill_ms(profile, 10, 1_000.0, 0), 14.0);
