--- a/crates/core/src/pipeline/model.rs
+++ b/crates/core/src/pipeline/model.rs
@@ -1,60 +1,59 @@
-//! What is known of a model and of the accelerators that run it.
+//! The performance profile of a model and of the accelerators that run it.
 
 use std::collections::BTreeMap;
 
 use crate::layer::Range;
 use crate::name::Accelerator;
 
-/// One kind of accelerator.
+/// The performance of one accelerator type.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Profile {
-    /// Its memory, in megabytes.
+    /// Memory, in megabytes.
     pub memory_mb: f64,
-    /// How many times the model's step time it takes for a token, for all layers.
+    /// Decode step time, as a multiple of [`Model::step_ms`].
     pub step_factor: f64,
-    /// How many times the model's time it takes to read a prompt.
+    /// Prefill time, as a multiple of the time at [`Model::prefill_tokens_per_second`].
     pub prefill_factor: f64,
 }
 
-/// A model spread by layers over backend servers.
+/// A model whose layers are distributed over backend servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Model {
-    /// How many layers the model has.
+    /// Number of layers.
     pub layers: u32,
-    /// The memory of one layer's weights, in megabytes.
+    /// Memory of one layer's weights, in megabytes.
     pub layer_mb: f64,
-    /// The memory of one token in all layers, in bytes.
+    /// KV memory of one token over all layers, in bytes.
     pub kv_bytes_per_token: f64,
-    /// The time of one token on an accelerator of pace 1, all layers, in milliseconds.
+    /// Decode step time over all layers at a step factor of 1, in milliseconds.
     pub step_ms: f64,
-    /// How much longer each request in a batch makes a token, in milliseconds, on an accelerator of
-    /// pace 1 with all layers.
+    /// Step time added by each request in the batch, in milliseconds.
     pub step_ms_per_request: f64,
-    /// How much longer 1,000 tokens of context of one request make it.
+    /// Step time added by each 1,000 context tokens of a request in the batch, in milliseconds.
     pub step_ms_per_1000_context: f64,
-    /// Prompt tokens read in a second at reading pace 1.
+    /// Prefill rate over all layers at a prefill factor of 1.
     pub prefill_tokens_per_second: f64,
-    /// The most prompt tokens that a server reads between two tokens of the requests that it runs; 0
-    /// when that is not known.
+    /// Maximum prompt tokens prefilled in one step; 0 if unknown.
     pub prefill_chunk: f64,
-    /// How many tokens of an answer one event carries.
+    /// Answer tokens per event.
     pub tokens_per_event: f64,
-    /// How long loading all layers takes, in seconds.
+    /// Time to load all layers, in seconds.
     pub load_seconds: f64,
-    /// How many servers load at full speed at a time; more share it. 0 when that is not known.
+    /// Servers that can load at full speed at the same time; more share the bandwidth. 0 if
+    /// unknown.
     pub concurrent_loads: u32,
-    /// Mean prompt tokens of a request.
+    /// Mean prompt length.
     pub mean_prompt_tokens: f64,
-    /// Mean answer tokens of a request.
+    /// Mean answer length.
     pub mean_answer_tokens: f64,
-    /// The accelerators.
+    /// Performance by accelerator type.
     pub profiles: BTreeMap<Accelerator, Profile>,
 }
 
 const BYTES_PER_MB: f64 = 1e6;
 
 impl Model {
-    /// Returns how many layers fit into an accelerator when `share` of its memory may hold weights.
+    /// Returns the number of layers that fit when weights may use `share` of the memory.
     ///
     /// # Examples
     ///
@@ -71,14 +70,14 @@
         (layers.max(0.0) as u32).min(self.layers)
     }
 
-    /// Tells whether layers are all of this model. A server may say that it holds others; a path through
-    /// them would end beyond the model.
+    /// Returns whether the range lies within this model. A server may report layers of another
+    /// model, and a path through them would run past the last layer.
     #[must_use]
     pub fn contains(&self, layers: Range) -> bool {
         layers.end <= self.layers
     }
 
-    /// Returns the memory left for requests beside `held` layers, in tokens times layers.
+    /// Returns the KV capacity left beside the weights of `held` layers, in token-layers.
     #[must_use]
     pub fn kv_capacity(&self, profile: Profile, held: u32) -> f64 {
         let left_mb = profile.memory_mb - f64::from(held) * self.layer_mb;
@@ -86,8 +85,8 @@
         (left_mb * BYTES_PER_MB / per_token_and_layer.max(1.0)).max(0.0)
     }
 
-    /// Returns how many times longer a token takes in a batch than alone, for requests of the usual
-    /// size halfway through their answers.
+    /// Returns the step time in a batch relative to a single request, for requests of mean length
+    /// halfway through their answers.
     ///
     /// # Examples
     ///
@@ -103,11 +102,11 @@
         1.0 + requests as f64 * each_ms / self.step_ms.max(f64::MIN_POSITIVE)
     }
 
-    /// Returns how many milliseconds a server that holds `held` layers and runs `requests` requests
-    /// takes to read `tokens` tokens.
+    /// Returns the time to prefill `tokens` tokens on a server that runs `held` layers for
+    /// `requests` requests, in milliseconds.
     ///
-    /// It reads them in pieces, between the tokens of the requests that it runs; requests are spread
-    /// over the parts of their paths, so a share of them is in each of its batches.
+    /// Prefill chunks alternate with decode steps. A server's batch contains the share of its
+    /// requests that are in its part of the path.
     ///
     /// # Examples
     ///
@@ -127,7 +126,7 @@
     #[must_use]
     pub fn prefill_ms(&self, profile: Profile, held: u32, tokens: f64, requests: u64) -> f64 {
         let share = f64::from(held) / f64::from(self.layers.max(1));
-        let reading_ms =
+        let compute_ms =
             tokens / self.prefill_tokens_per_second.max(1.0) * 1e3 * profile.prefill_factor * share;
         let batch = (requests as f64 * share).ceil() as u64;
         let step_ms = self.step_ms * profile.step_factor * share * self.batch_factor(batch);
@@ -136,10 +135,10 @@
         } else {
             0.0
         };
-        reading_ms + steps * step_ms
+        compute_ms + steps * step_ms
     }
 
-    /// Returns the kind of an accelerator, if the model names it.
+    /// Returns the profile of an accelerator type, if configured.
     #[must_use]
     pub fn profile(&self, accelerator: Option<&Accelerator>) -> Option<Profile> {
         self.profiles.get(accelerator?).copied()
