--- a/crates/core/src/pipeline/path.rs
+++ b/crates/core/src/pipeline/path.rs
@@ -9,44 +9,44 @@
 /// One part of a path.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Part {
-    /// Who runs it.
+    /// The backend server.
     pub server: Incarnation,
-    /// Where that backend server listens.
+    /// The server's address.
     pub address: SocketAddr,
-    /// The layers that it runs.
+    /// The layers to run.
     pub layers: Range,
 }
 
-/// Parts that together run every layer once and in order.
+/// Parts that run every layer exactly once and in order.
 ///
-/// Only [`Path::new`] makes one, and it checks exactly that: engines do not check a path for gaps,
-/// overlaps or order, and a token made on a faulty path looks like any other.
+/// Validated on construction: engines do not check paths, and a token from an invalid path cannot
+/// be told from a correct one.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Path(Vec<Part>);
 
-/// Why parts are no path.
+/// Why a list of parts is not a valid path.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Fault {
-    /// A part does not begin where the one before it ends, or the last layer is not reached.
+    /// A part does not start where the previous one ends, or the last layer is not reached.
     #[error("the parts do not run every layer once and in order")]
     NotContiguous,
-    /// A backend server stands in the path twice, which engines refuse.
+    /// A backend server occurs twice, which engines refuse.
     #[error("a backend server stands in the path twice")]
     DuplicateServer,
-    /// There are more parts than engines take.
+    /// There are more parts than engines accept.
     #[error("there are more than {MAX_PARTS} parts")]
     TooLong,
 }
 
-/// The most parts that engines take; the platform's figure.
+/// Maximum number of parts that engines accept.
 pub const MAX_PARTS: usize = 32;
 
 impl Path {
-    /// Checks that parts run `layers` layers once and in order.
+    /// Creates a path over a model of `layers` layers.
     ///
     /// # Errors
     ///
-    /// They do not.
+    /// The parts do not run every layer exactly once and in order, repeat a server or are too many.
     pub fn new(layers: u32, parts: Vec<Part>) -> Result<Self, Fault> {
         let mut reached = 0;
         for (index, part) in parts.iter().enumerate() {
@@ -73,19 +73,19 @@
         &self.0
     }
 
-    /// Returns the part that takes the request; a path is never empty.
+    /// Returns the first part, which receives the request.
     #[must_use]
     pub fn first(&self) -> Option<&Part> {
         self.0.first()
     }
 
-    /// Returns the part that listens at an address.
+    /// Returns the part at an address.
     #[must_use]
     pub fn part_at(&self, address: SocketAddr) -> Option<&Part> {
         self.0.iter().find(|part| part.address == address)
     }
 
-    /// Tells whether a backend server stands in the path.
+    /// Returns whether a backend server is part of the path.
     #[must_use]
     pub fn contains(&self, server: &Incarnation) -> bool {
         self.0.iter().any(|part| part.server == *server)
