--- a/crates/core/src/pipeline/load.rs
+++ b/crates/core/src/pipeline/load.rs
@@ -1,4 +1,4 @@
-//! What all entries have in flight at each backend server.
+//! Requests of all entries in flight at each backend server.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,18 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// What is in flight at one server.
+/// Requests in flight at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Memory, in tokens times layers.
+    /// KV memory, in token-layers.
     pub tokens: f64,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
 }
 
-/// The memory of requests in flight, of this entry and of the others.
+/// Requests in flight from this entry and from the others.
 ///
-/// Were each entry to know only its own load, all would find the same fast servers idle and fill
-/// them together.
+/// Entries that knew only their own load would all overload the same fast servers.
 ///
 /// # Examples
 ///
@@ -36,69 +35,70 @@
 #[derive(Clone, Debug, Default)]
 pub struct Load {
     own: BTreeMap<Incarnation, Usage>,
-    /// What the other entries have, added up, so that a choice needs one look-up a server.
+    /// Total over the other entries.
     others: BTreeMap<Incarnation, Usage>,
-    /// How many other entries that is of.
+    /// Number of entries in `others`.
     peers: u64,
-    /// What servers were given to read.
+    /// Outstanding prefill work.
     pub backlog: Backlog,
-    /// Servers that refused requests.
+    /// Servers that refuse requests.
     pub refusals: Refusals,
-    /// How many times slower than usual servers said they are, and when.
+    /// Reported slowness factor of each server, and when it was received.
     slowness: BTreeMap<Incarnation, (f64, Instant)>,
-    /// The same of those that said so to this entry.
+    /// The part of `slowness` that servers reported to this entry directly.
     direct_slowness: BTreeMap<Incarnation, (f64, Instant)>,
 }
 
-/// How long a server's word that it is slow counts; then a few requests find out how it is now.
-const SLOW: Span = Span(2_500);
-/// For how long what a server said is told to the others; several words in a row may be lost.
-const TOLD: Span = Span(500);
+/// How long a reported slowness applies. After that, requests probe the server again.
+const SLOWNESS_TTL: Span = Span(2_500);
+/// How long a report is forwarded to other entries; covers the loss of several messages in a row.
+const FORWARD_TTL: Span = Span(500);
 
 impl Load {
-    /// Books a request at a server.
+    /// Records the start of a request at a server.
     pub fn start_request(&mut self, server: &Incarnation, tokens: f64) {
-        let used = self.own.entry(server.clone()).or_default();
-        used.tokens += tokens;
-        used.requests += 1;
+        let usage = self.own.entry(server.clone()).or_default();
+        usage.tokens += tokens;
+        usage.requests += 1;
     }
 
-    /// Books its end.
+    /// Records the end of a request at a server.
     pub fn end_request(&mut self, server: &Incarnation, tokens: f64) {
-        let Some(used) = self.own.get_mut(server) else {
+        let Some(usage) = self.own.get_mut(server) else {
             return;
         };
-        used.tokens -= tokens;
-        used.requests = used.requests.saturating_sub(1);
-        if used.requests == 0 {
+        usage.tokens -= tokens;
+        usage.requests = usage.requests.saturating_sub(1);
+        if usage.requests == 0 {
             self.own.remove(server);
         }
     }
 
-    /// Books a request of `tokens` tokens on every part of a path.
+    /// Records the start of a request of `tokens` tokens on every part of a path.
     pub fn start_path(&mut self, path: &Path, tokens: f64) {
         for part in path.parts() {
             self.start_request(&part.server, tokens * f64::from(part.layers.len()));
         }
     }
 
-    /// Books its end.
+    /// Records the end of a request on every part of a path.
     pub fn end_path(&mut self, path: &Path, tokens: f64) {
         for part in path.parts() {
             self.end_request(&part.server, tokens * f64::from(part.layers.len()));
         }
     }
 
-    /// Books that a server was lost, so that the moves of its streams are foreseen.
+    /// Records the loss of a server, so that choices account for the streams that move with it.
     pub fn server_lost(&mut self, now: Instant, server: &Incarnation) {
-        let own = self.own.get(server).map_or(0, |used| used.requests);
+        let own = self.own.get(server).map_or(0, |usage| usage.requests);
         self.backlog
             .server_lost(now, server, own, self.requests(server));
     }
 
-    /// Books how many times slower than usual a server says it is.
+    /// Records a server's slowness factor.
     pub fn record_slowness(&mut self, now: Instant, server: &Incarnation, slowness: f64) {
-        self.slowness.retain(|_, (_, at)| now.since(*at) <= SLOW);
+        self.slowness
+            .retain(|_, (_, at)| now.since(*at) <= SLOWNESS_TTL);
         if slowness > 1.0 {
             self.slowness.insert(server.clone(), (slowness, now));
         } else {
@@ -106,65 +106,65 @@
         }
     }
 
-    /// Returns who said a moment ago that it is slow, and how many times, to tell the others.
+    /// Returns the slowness factors to forward to other entries.
     pub fn recent_slowness(&self, now: Instant) -> impl Iterator<Item = (&Incarnation, f64)> {
         let fresh = self
             .direct_slowness
             .iter()
-            .filter(move |(_, (_, at))| now.since(*at) <= TOLD);
+            .filter(move |(_, (_, at))| now.since(*at) <= FORWARD_TTL);
         fresh.map(|(server, (slowness, _))| (server, *slowness))
     }
 
-    /// Books how many times slower than usual a server told this entry that it is.
+    /// Records the slowness factor that a server reported to this entry.
     pub fn record_direct_slowness(&mut self, now: Instant, server: &Incarnation, slowness: f64) {
         self.record_slowness(now, server, slowness);
         self.direct_slowness
-            .retain(|_, (_, at)| now.since(*at) <= TOLD);
+            .retain(|_, (_, at)| now.since(*at) <= FORWARD_TTL);
         self.direct_slowness.insert(server.clone(), (slowness, now));
     }
 
-    /// Returns how many times slower than usual a server is.
+    /// Returns the slowness factor of a server; 1 if none is known.
     #[must_use]
     pub fn slowness(&self, now: Instant, server: &Incarnation) -> f64 {
         let known = self.slowness.get(server);
-        let fresh = known.filter(|(_, at)| now.since(*at) <= SLOW);
+        let fresh = known.filter(|(_, at)| now.since(*at) <= SLOWNESS_TTL);
         fresh.map_or(1.0, |(slowness, _)| *slowness)
     }
 
-    /// Takes what the other entries have in flight, added up, and how many of them that is of.
+    /// Sets the total in flight over the other entries, and their number.
     pub fn set_others(&mut self, entries: u64, servers: BTreeMap<Incarnation, Usage>) {
         self.peers = entries;
         self.others = servers;
     }
 
-    /// Returns how many other entries are heard.
+    /// Returns the number of other entries that report.
     #[must_use]
     pub fn peers(&self) -> u64 {
         self.peers
     }
 
-    /// Tells whether this entry has requests in flight at a server.
+    /// Returns whether this entry has requests in flight at a server.
     #[must_use]
     pub fn has_own_requests(&self, server: &Incarnation) -> bool {
         self.own.contains_key(server)
     }
 
-    /// Returns what this entry has in flight, to tell the others.
+    /// Returns the requests that this entry has in flight.
     pub fn own_usage(&self) -> impl Iterator<Item = (&Incarnation, &Usage)> {
         self.own.iter()
     }
 
-    /// Returns the memory in use at a server, in tokens times layers.
+    /// Returns the KV memory in use at a server, in token-layers.
     #[must_use]
     pub fn tokens(&self, server: &Incarnation) -> f64 {
-        let tokens = |used: &Usage| used.tokens;
+        let tokens = |usage: &Usage| usage.tokens;
         self.own.get(server).map_or(0.0, tokens) + self.others.get(server).map_or(0.0, tokens)
     }
 
-    /// Returns the requests in flight at a server.
+    /// Returns the number of requests in flight at a server.
     #[must_use]
     pub fn requests(&self, server: &Incarnation) -> u64 {
-        let requests = |used: &Usage| used.requests;
+        let requests = |usage: &Usage| usage.requests;
         self.own.get(server).map_or(0, requests) + self.others.get(server).map_or(0, requests)
     }
 }
