--- a/crates/core/src/pipeline/summary.rs
+++ b/crates/core/src/pipeline/summary.rs
@@ -1,4 +1,4 @@
-//! What one entry, or several together, have in flight and have found out.
+//! State that entries exchange: requests in flight, outcomes and suspicions.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,66 +10,66 @@
 use crate::pipeline::server::Incarnation;
 use crate::time::Span;
 
-/// What entries know, added up.
+/// The merged state of one or more entries.
 ///
-/// One entry's word and the sum over hundreds have the same form, so that a sum can be passed on and added to
-/// others without telling who had which part of it.
+/// A single entry's report and the sum over hundreds have the same form, so sums can be forwarded
+/// and merged again.
 ///
 /// # Examples
 ///
 /// ```
 /// # use jujube_core::pipeline::load::Usage;
 /// # use jujube_core::pipeline::summary::Summary;
-/// let used = |requests| Usage { tokens: 100.0, requests };
-/// let mut all = Summary { entries: 1, usage: [("a".into(), used(2))].into(), ..Summary::default() };
-/// all.merge(&Summary { entries: 1, usage: [("a".into(), used(1))].into(), ..Summary::default() });
+/// let usage = |requests| Usage { tokens: 100.0, requests };
+/// let mut all = Summary { entries: 1, usage: [("a".into(), usage(2))].into(), ..Summary::default() };
+/// all.merge(&Summary { entries: 1, usage: [("a".into(), usage(1))].into(), ..Summary::default() });
 /// assert_eq!(all.entries, 2);
 /// assert_eq!(all.usage[&"a".into()], Usage { tokens: 200.0, requests: 3 });
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
-    /// How many entries it is of.
+    /// Number of entries included.
     pub entries: u64,
-    /// How many of them the store answers.
+    /// Number of entries that can reach the store.
     pub with_store: u64,
-    /// The lowest address of those that could give orders.
+    /// Lowest address of the entries that could act as planner.
     pub ready: Option<SocketAddr>,
-    /// Who gives orders, under which fencing number.
+    /// The planner's fencing token and address.
     pub planner: Option<(Token, SocketAddr)>,
-    /// What is in flight.
+    /// Requests in flight.
     pub usage: BTreeMap<Incarnation, Usage>,
-    /// How requests ended.
+    /// Outcomes of requests.
     pub outcomes: BTreeMap<Incarnation, Tally>,
-    /// How many times slower than usual servers say they are.
+    /// Reported slowness factors.
     pub slowness: BTreeMap<Incarnation, f64>,
-    /// Servers that refuse requests, and for how long that is believed.
+    /// Servers that refuse requests, and for how long that is assumed.
     pub refusing: BTreeMap<Incarnation, Span>,
-    /// Servers that are suspected, and by how many entries.
+    /// Number of entries that suspect each server.
     pub suspects: BTreeMap<Incarnation, u64>,
-    /// What servers told the planner that they hold, while the store is away.
+    /// Layers that servers reported to the planner while the store is unreachable.
     pub held: BTreeMap<Incarnation, Range>,
-    /// What the planner has ordered servers to hold and they do not hold yet.
+    /// Layers that the planner ordered and servers do not hold yet.
     pub ordered: BTreeMap<Incarnation, Range>,
 }
 
 impl Summary {
-    /// Adds what other entries know.
+    /// Merges the state of other entries.
     pub fn merge(&mut self, other: &Self) {
         self.merge_aged(other, Span(0));
     }
 
-    /// Adds what other entries knew some time ago. Refusals are believed until a moment, however often they are
-    /// told on, so those that have run out meanwhile are left out.
+    /// Merges state of the given age. Expired refusals are dropped, so forwarding does not extend
+    /// them.
     pub fn merge_aged(&mut self, other: &Self, age: Span) {
         self.entries += other.entries;
         self.with_store += other.with_store;
         let ready = self.ready.into_iter().chain(other.ready);
         self.ready = ready.min();
         self.planner = self.planner.max(other.planner);
-        for (server, used) in &other.usage {
+        for (server, usage) in &other.usage {
             let sum = self.usage.entry(server.clone()).or_default();
-            sum.tokens += used.tokens;
-            sum.requests += used.requests;
+            sum.tokens += usage.tokens;
+            sum.requests += usage.requests;
         }
         for (server, tally) in &other.outcomes {
             let sum = self.outcomes.entry(server.clone()).or_default();
@@ -77,12 +77,12 @@
             sum.bad += tally.bad;
         }
         for (server, slowness) in &other.slowness {
-            let most = self.slowness.entry(server.clone()).or_default();
-            *most = most.max(*slowness);
+            let max = self.slowness.entry(server.clone()).or_default();
+            *max = max.max(*slowness);
         }
-        for (server, lasts) in other.refusing.iter().filter(|(_, lasts)| **lasts > age) {
+        for (server, ttl) in other.refusing.iter().filter(|(_, ttl)| **ttl > age) {
             let longest = self.refusing.entry(server.clone()).or_default();
-            *longest = (*longest).max(Span(lasts.0 - age.0));
+            *longest = (*longest).max(Span(ttl.0 - age.0));
         }
         for (server, entries) in &other.suspects {
             *self.suspects.entry(server.clone()).or_default() += entries;
