--- a/crates/core/src/pipeline/assignment.rs
+++ b/crates/core/src/pipeline/assignment.rs
@@ -1,4 +1,4 @@
-//! Orders to hold layers that were given and do not show in the registrations yet.
+//! Orders to hold layers that were sent and are not visible in the registrations yet.
 
 use std::collections::BTreeMap;
 
@@ -11,60 +11,60 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// How long an order may take to show in the registrations before it is given again.
-const CARRIED_OUT: Span = Span(45_000);
-/// The same for an order of the planner before, which nobody sees through: three times what loading the
-/// layers of one server takes.
-const INHERITED: Span = Span(5_000);
-/// How long after a server has loaded its registration shows it.
-const SHOWN: Span = Span(1_500);
+/// How long an order may take to appear in the registrations before it is sent again.
+const ORDER_TIMEOUT: Span = Span(45_000);
+/// Timeout of an order inherited from the previous planner, which this one does not send again.
+const INHERITED_TIMEOUT: Span = Span(5_000);
+/// Delay until a completed load appears in the registrations.
+const REGISTRATION_DELAY: Span = Span(1_500);
 
-/// An order that does not show yet.
+/// An order in progress.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Assignment {
-    /// What the server is to hold.
+    /// The layers that the server is to hold.
     pub layers: Range,
-    /// What it held when the order was given.
+    /// The layers that it held when the order was sent.
     before: Range,
     handover: Handover,
     since: Instant,
-    /// For how long it is believed to be under way.
-    lasts: Span,
+    /// How long the order is assumed to be in progress.
+    timeout: Span,
     is_accepted: bool,
-    /// Whether the server refused it, since it carries out another order.
+    /// Whether the server refused the order because it still executes another one.
     is_refused: bool,
 }
 
 impl Assignment {
-    /// Returns what the server is about while so many requests pass through it; `loads` are under way.
+    /// Returns the server's phase while it serves `requests` requests and `loads` orders are in
+    /// progress.
     ///
-    /// An order counts as good as done only if nothing holds it up. One that waits for requests takes as long as these
-    /// run, and runs that nobody knows of any more show only by the time that it takes.
+    /// An order that waits for requests takes as long as they run. Requests that no entry tracks
+    /// any more show only as an overdue order.
     #[must_use]
     pub fn phase(&self, now: Instant, requests: u64, model: &Model, loads: usize) -> Phase {
-        let gives_up = !self.before.is_empty() && !self.layers.contains(self.before);
-        let is_held_up = gives_up && self.handover == Handover::Drain && requests > 0;
-        let is_overdue = now.since(self.since) > due(model, self.layers, loads);
-        match self.is_refused || is_held_up || is_overdue {
+        let releases_layers = !self.before.is_empty() && !self.layers.contains(self.before);
+        let is_blocked = releases_layers && self.handover == Handover::Drain && requests > 0;
+        let is_overdue = now.since(self.since) > expected_duration(model, self.layers, loads);
+        match self.is_refused || is_blocked || is_overdue {
             true => Phase::Blocked,
             false => Phase::Loading,
         }
     }
 }
 
-/// Returns how long after an order a server holds its layers that waits for nothing, while `loads` are under way.
-fn due(model: &Model, layers: Range, loads: usize) -> Span {
+/// Returns the time that an order takes if nothing blocks it, while `loads` orders are in progress.
+fn expected_duration(model: &Model, layers: Range, loads: usize) -> Span {
     const MILLISECONDS: f64 = 1e3;
     let share = f64::from(layers.len()) / f64::from(model.layers.max(1));
     let queue = match model.concurrent_loads {
         0 => 1.0,
-        at_once => (loads as f64 / f64::from(at_once)).max(1.0),
+        concurrent => (loads as f64 / f64::from(concurrent)).max(1.0),
     };
     let load = model.load_seconds * MILLISECONDS * share * queue;
-    Span(load as u64 + SHOWN.0)
+    Span(load as u64 + REGISTRATION_DELAY.0)
 }
 
-/// The orders of one planner that do not show yet.
+/// The orders in progress of one planner.
 ///
 /// # Examples
 ///
@@ -77,57 +77,59 @@
 /// let mut orders = Assignments::default();
 /// let order = Order::new("a".into(), Range::new(0, 8));
 /// assert!(orders.record(Instant(0), &order, Range::default()));
-/// assert!(!orders.record(Instant(10), &order, Range::default()), "it is under way");
+/// assert!(!orders.record(Instant(10), &order, Range::default()), "already sent");
 /// assert_eq!(orders.accepted(), BTreeMap::new());
 /// orders.accept(&order);
 /// assert_eq!(orders.accepted(), BTreeMap::from([("a".into(), Range::new(0, 8))]));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Assignments {
-    given: BTreeMap<Incarnation, Assignment>,
+    assignments: BTreeMap<Incarnation, Assignment>,
 }
 
 impl Assignments {
-    /// Returns the orders that servers accepted from the planner before.
+    /// Returns the orders that servers accepted from the previous planner.
     ///
-    /// A server that loads layers shows what it held before until it has them. Ordered elsewhere by a planner
-    /// that does not know, it would have loaded in vain; entries that restart one after the other give the
-    /// office on every second or so, and each planner would undo the moves of the one before.
+    /// A loading server's registration shows its old layers. Without this, every new planner would
+    /// undo the moves of the previous one during a rolling restart of the entries.
     #[must_use]
     pub fn inherited(now: Instant, accepted: &BTreeMap<Incarnation, Range>) -> Self {
-        let given = accepted.iter().map(|(server, layers)| {
+        let assignments = accepted.iter().map(|(server, layers)| {
             let assignment = Assignment {
                 layers: *layers,
                 before: Range::default(),
                 handover: Handover::Drain,
                 since: now,
-                lasts: INHERITED,
+                timeout: INHERITED_TIMEOUT,
                 is_accepted: true,
                 is_refused: false,
             };
             (server.clone(), assignment)
         });
         Self {
-            given: given.collect(),
+            assignments: assignments.collect(),
         }
     }
 
-    /// Books an order to a server that holds other layers; `false` when it was given already.
+    /// Records an order to a server that holds the layers `held`. Returns `false` if the same order
+    /// is already in progress.
     pub fn record(&mut self, now: Instant, order: &Order, held: Range) -> bool {
         let assignment = Assignment {
             layers: order.layers,
             before: held,
             handover: order.handover,
             since: now,
-            lasts: CARRIED_OUT,
+            timeout: ORDER_TIMEOUT,
             is_accepted: false,
             is_refused: false,
         };
-        let before = self.given.insert(order.server.clone(), assignment);
-        before.is_none_or(|before| before.layers != order.layers || before.lasts != CARRIED_OUT)
+        let previous = self.assignments.insert(order.server.clone(), assignment);
+        previous.is_none_or(|previous| {
+            previous.layers != order.layers || previous.timeout != ORDER_TIMEOUT
+        })
     }
 
-    /// Books that a server accepted an order.
+    /// Records that a server accepted an order.
     pub fn accept(&mut self, order: &Order) {
         if let Some(assignment) = self.last(order) {
             assignment.is_accepted = true;
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Books that a server refused an order, since it carries out another one first.
+    /// Records that a server refused an order because it still executes another one.
     pub fn refuse(&mut self, order: &Order) {
         if let Some(assignment) = self.last(order) {
             assignment.is_refused = true;
@@ -143,63 +145,65 @@
     }
 
     fn last(&mut self, order: &Order) -> Option<&mut Assignment> {
-        let last = self.given.get_mut(&order.server)?;
+        let last = self.assignments.get_mut(&order.server)?;
         (last.layers == order.layers).then_some(last)
     }
 
-    /// Tells whether an order is the last one for its server.
+    /// Returns whether an order is the latest one for its server.
     #[must_use]
     pub fn is_latest(&self, order: &Order) -> bool {
-        let last = self.given.get(&order.server);
+        let last = self.assignments.get(&order.server);
         last.is_some_and(|last| last.layers == order.layers)
     }
 
-    /// Drops the orders that show, or that have been under way for too long; returns those that show, and how long
-    /// they took. `held` tells what a server holds.
+    /// Removes completed and timed-out orders, and returns the completed ones with the time that
+    /// they took.
+    ///
+    /// `held` returns the layers that a server holds, or `None` if it is gone.
     pub fn settle(
         &mut self,
         now: Instant,
         held: impl Fn(&Incarnation) -> Option<Range>,
     ) -> Vec<(Incarnation, Range, Span)> {
-        let mut shown = Vec::new();
-        self.given.retain(|server, assignment| {
+        let mut completed = Vec::new();
+        self.assignments.retain(|server, assignment| {
             let took = now.since(assignment.since);
             let held = held(server);
             if held == Some(assignment.layers) {
-                shown.push((server.clone(), assignment.layers, took));
+                completed.push((server.clone(), assignment.layers, took));
             }
-            held.is_some_and(|held| held != assignment.layers) && took <= assignment.lasts
+            held.is_some_and(|held| held != assignment.layers) && took <= assignment.timeout
         });
-        shown
+        completed
     }
 
-    /// Returns the order to a server that does not show yet.
+    /// Returns the order in progress for a server.
     #[must_use]
     pub fn get(&self, server: &Incarnation) -> Option<&Assignment> {
-        self.given.get(server)
+        self.assignments.get(server)
     }
 
-    /// Returns how many orders are under way.
+    /// Returns the number of orders in progress.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.given.len()
+        self.assignments.len()
     }
 
-    /// Tells whether no order is under way.
+    /// Returns whether no order is in progress.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.given.is_empty()
+        self.assignments.is_empty()
     }
 
-    /// Returns what servers have accepted to hold, for the next planner.
+    /// Returns the layers of the accepted orders, for the next planner.
     ///
-    /// What they have not accepted nobody carries out once this planner is gone. Believed, it would keep gaps open that
-    /// the next planner takes for closed.
+    /// Orders that were not accepted are lost with this planner. If the next one counted on them,
+    /// their gaps would stay open.
     #[must_use]
     pub fn accepted(&self) -> BTreeMap<Incarnation, Range> {
-        let accepted = self.given.iter().filter(|(_, given)| given.is_accepted);
+        let accepted = self.assignments.iter().filter(|(_, a)| a.is_accepted);
         accepted
-            .map(|(server, given)| (server.clone(), given.layers))
+            .map(|(server, assignment)| (server.clone(), assignment.layers))
             .collect()
     }
 }
