--- a/crates/core/src/pipeline/chooser/mod.rs
+++ b/crates/core/src/pipeline/chooser/mod.rs
@@ -1,8 +1,8 @@
-//! The choice of a path through the layers that backend servers hold.
+//! Selection of a path through the layers that backend servers hold.
 //!
-//! A part may run any layers inside what its server holds, so a path is a walk over the positions
-//! where held ranges begin and end. The choice is the walk that is predicted to end soonest, found
-//! by dynamic programming over these positions.
+//! A part may run any layers inside the range that its server holds, so a path is a sequence of
+//! steps between the positions where held ranges start and end. Dynamic programming over these
+//! positions finds the path with the earliest predicted end.
 
 mod search;
 
@@ -25,34 +25,34 @@
 use crate::pipeline::suspicion::Suspicion;
 use crate::time::Instant;
 
-/// A backend server as the choice sees it.
+/// A backend server that a path may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its name.
+    /// The server.
     pub server: Incarnation,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
     /// The layers that it holds.
     pub held: Range,
-    /// Its accelerator.
+    /// The profile of its accelerator.
     pub profile: Profile,
-    /// Its room for requests, in tokens times layers.
+    /// Its KV capacity, in token-layers.
     pub kv_capacity: f64,
 }
 
-/// What a request needs.
+/// The size of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// Tokens of the prompt.
+    /// Prompt length.
     pub prompt_tokens: f64,
-    /// Tokens of the answer, as estimated.
+    /// Estimated answer length.
     pub answer_tokens: f64,
 }
 
 impl Demand {
-    /// Returns the tokens to keep in memory by the end.
+    /// Returns the tokens in KV memory at the end of the request.
     #[must_use]
     pub fn tokens(&self) -> f64 {
         self.prompt_tokens + self.answer_tokens
@@ -64,63 +64,61 @@
 pub struct Fleet {
     /// The model.
     pub model: Arc<Model>,
-    /// Its servers that hold layers.
+    /// The servers that hold layers.
     pub candidates: Vec<Candidate>,
     zones: BTreeSet<Zone>,
 }
 
-/// What a part on a server without room costs over its time, in milliseconds: it is taken only
-/// where there is no other.
-pub(super) const NO_ROOM_MS: f64 = 1e7;
-/// What a suspected server costs, in milliseconds: only where nothing else completes the path.
+/// Cost of a server without free KV capacity: it is used only if there is no other.
+pub(super) const NO_CAPACITY_MS: f64 = 1e7;
+/// Cost of a suspected server: it is used only if no other path is complete.
 pub(super) const SUSPECT_MS: f64 = 1e9;
-/// How soon the next event must be predicted after a repair, in milliseconds, for the request to stay:
-/// opening it elsewhere is an attempt and a retry, and a pause under 200 ms is on time.
-const SOON_MS: f64 = 60.0;
-/// What a server costs that fails too often, in milliseconds: what opening a request again costs its
-/// caller, the time until a stall is noticed included.
+/// Predicted pause up to which a repair is preferred over reopening the request, which uses an
+/// attempt and a retry.
+const ACCEPTABLE_PAUSE_MS: f64 = 60.0;
+/// Cost of a server that fails too often: the delay of reopening a request, including the detection
+/// of a stall.
 const OUTLIER_MS: f64 = 2_000.0;
-/// What a server costs that one other entry suspects, in milliseconds: less than a path in another availability
-/// zone, so that one entry that accuses all moves no request by its word.
-const DOUBTED_MS: f64 = 50.0;
-/// What a path in another availability zone than the entry's costs, in milliseconds: each event
-/// crosses the link once more, which shows in nothing but the bytes between zones.
-const AWAY_MS: f64 = 60.0;
+/// Cost of a server that a single other entry suspects. Lower than [`REMOTE_ZONE_MS`], so that one
+/// entry that suspects all servers moves no requests.
+const REPORTED_SUSPECT_MS: f64 = 50.0;
+/// Cost of a path outside the entry's availability zone, for the traffic between zones.
+const REMOTE_ZONE_MS: f64 = 60.0;
 
-/// What the choice may look at besides the fleet.
+/// Inputs to the choice besides the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Context<'a> {
-    /// The time.
+    /// The current time.
     pub now: Instant,
-    /// What is in flight.
+    /// Requests in flight.
     pub load: &'a Load,
-    /// Who is suspected.
+    /// Suspected servers.
     pub suspicion: &'a Suspicion,
-    /// Who fails too often.
+    /// Servers that fail too often.
     pub outliers: &'a Outliers,
-    /// Who refused this request.
+    /// Servers that refused this request.
     pub avoid: &'a [Incarnation],
     /// The entry's availability zone.
     pub local_zone: &'a Zone,
-    /// How many requests of all entries this one stands for; they choose at the same moment.
+    /// Number of requests of all entries that this one represents, all choosing at the same moment.
     pub herd_size: f64,
-    /// A random number, drawn anew for each choice.
+    /// A random number, different for each choice.
     pub random: u64,
 }
 
 impl Context<'_> {
-    /// Returns how many of a crowd are taken to be ahead in an availability zone.
+    /// Returns this request's assumed position in the herd in an availability zone.
     ///
-    /// Entries that choose at the same moment by the same figures would all choose alike. Each takes
-    /// a random place in the crowd of each zone, so that together they spread as if one chose for all.
-    fn ahead(&self, zone: &Zone) -> f64 {
+    /// Entries that choose at the same moment from the same data would all choose the same servers.
+    /// A random position per zone spreads them as if a single entry chose for all.
+    fn herd_position(&self, zone: &Zone) -> f64 {
         let mut hasher = DefaultHasher::new();
         (self.random, zone).hash(&mut hasher);
         let share = hasher.finish() as f64 / u64::MAX as f64;
         share * (self.herd_size - 1.0)
     }
 
-    /// Returns what a server's record costs a request, in milliseconds.
+    /// Returns the cost of a server's suspicions, refusals and failures, in milliseconds.
     fn penalty_ms(&self, server: &Incarnation) -> f64 {
         if self.suspicion.holds(server) || self.avoid.contains(server) {
             return SUSPECT_MS;
@@ -130,41 +128,40 @@
         }
         match self.suspicion.told(server) {
             0 => 0.0,
-            _ => DOUBTED_MS,
+            _ => REPORTED_SUSPECT_MS,
         }
     }
 }
 
-/// A path and what is predicted for it.
+/// A path and its predicted cost.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// The path.
     pub path: Path,
-    /// The predicted time, in milliseconds; over [`Choice::is_last_resort`]'s bound it was the last
-    /// resort.
+    /// The predicted time with all penalties, in milliseconds.
     pub cost_ms: f64,
-    /// How soon the parts that must read the request's tokens are predicted to have done so, in
-    /// milliseconds: the time to the next event.
+    /// The predicted time to the next event, when all new parts have finished prefill, in
+    /// milliseconds.
     pub first_event_ms: f64,
 }
 
-/// How a request goes on after a part of its path was lost.
+/// How a request continues after the loss of a part of its path.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Continuation {
-    /// The first part stays; the engine is ordered to go on along this path.
+    /// The first part stays, and its engine is ordered to continue on this path.
     Repair(Choice),
-    /// The request is opened again, on this path.
+    /// The request is reopened on this path.
     Reopen(Choice),
 }
 
 impl Choice {
-    /// Tells whether the path goes through a server that has no room.
+    /// Returns whether the path uses a server without free KV capacity.
     #[must_use]
     pub fn lacks_capacity(&self) -> bool {
-        self.cost_ms >= NO_ROOM_MS
+        self.cost_ms >= NO_CAPACITY_MS
     }
 
-    /// Tells whether the path goes through a suspected server.
+    /// Returns whether the path uses a suspected server.
     #[must_use]
     pub fn is_last_resort(&self) -> bool {
         self.cost_ms >= SUSPECT_MS
@@ -172,7 +169,7 @@
 }
 
 impl Fleet {
-    /// Returns the fleet of a model.
+    /// Creates the fleet of a model.
     #[must_use]
     pub fn new(model: Arc<Model>, candidates: Vec<Candidate>) -> Self {
         let zones = candidates
@@ -195,15 +192,16 @@
         )
     }
 
-    /// Tells whether every layer has a holder.
+    /// Returns whether every layer is held by some server.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.uncovered_layers().is_empty()
     }
 
-    /// Chooses the path that is predicted to end soonest.
+    /// Chooses the path with the earliest predicted end.
     ///
-    /// Paths inside one availability zone come first: activations between zones share one pipe.
+    /// Paths within one availability zone come first, because all traffic between zones shares one
+    /// link.
     pub fn choose(&self, demand: Demand, context: &Context<'_>) -> Option<Choice> {
         let mut best: Option<Choice> = None;
         for zone in &self.zones {
@@ -215,7 +213,7 @@
                 continue;
             };
             if zone != context.local_zone {
-                choice.cost_ms += AWAY_MS;
+                choice.cost_ms += REMOTE_ZONE_MS;
             }
             if best
                 .as_ref()
@@ -235,10 +233,10 @@
         }
     }
 
-    /// Chooses another path for a request that is under way on `old`.
+    /// Chooses a new path for a running request on `old`.
     ///
-    /// The first part stays as it is: the engine there holds the stream. Parts that stay keep what
-    /// they have read, the others read all tokens again.
+    /// The first part stays unchanged, because its engine holds the stream. Parts that stay keep
+    /// their KV memory, and the others prefill all tokens again.
     pub fn repair(&self, demand: Demand, context: &Context<'_>, old: &Path) -> Option<Choice> {
         let first = old.first()?;
         let zone = self
@@ -246,23 +244,26 @@
             .iter()
             .find(|candidate| candidate.server == first.server);
         let zone = zone.map(|candidate| &candidate.zone)?;
-        let near = self
+        let local = self
             .candidates
             .iter()
             .filter(|candidate| candidate.zone == *zone);
-        let near = self.search(near, demand, context, Some(old));
-        if near.as_ref().is_some_and(|choice| !choice.is_last_resort()) {
-            return near;
+        let local = self.search(local, demand, context, Some(old));
+        if local
+            .as_ref()
+            .is_some_and(|choice| !choice.is_last_resort())
+        {
+            return local;
         }
         let across = self.search(self.candidates.iter(), demand, context, Some(old));
         across.filter(|choice| !choice.is_last_resort())
     }
 
-    /// Chooses how a request goes on whose path `old` has lost a part other than the first.
+    /// Chooses how a request continues after its path `old` lost a part other than the first.
     ///
-    /// Whichever way the next event comes sooner is taken: the stand-in of a dead part reads the tokens
-    /// of all requests that it takes over one after the other, and opening some of them elsewhere is
-    /// quicker than to queue there.
+    /// Takes whichever way produces the next event sooner. The replacement of a dead part prefills
+    /// the requests that it takes over one after the other, so reopening some elsewhere is faster
+    /// than queueing there.
     pub fn recover(
         &self,
         demand: Demand,
@@ -271,7 +272,7 @@
         may_reopen: bool,
     ) -> Option<Continuation> {
         let repair = self.repair(demand, context, old)?;
-        let may_reopen = may_reopen && repair.first_event_ms > SOON_MS;
+        let may_reopen = may_reopen && repair.first_event_ms > ACCEPTABLE_PAUSE_MS;
         let reopen = may_reopen.then(|| self.choose(demand, context)).flatten();
         let reopen = reopen.filter(|choice| !choice.is_last_resort() && !choice.lacks_capacity());
         match reopen.filter(|choice| choice.first_event_ms < repair.first_event_ms) {
@@ -280,11 +281,11 @@
         }
     }
 
-    /// Chooses how a request leaves servers of its path `old` that will soon be gone, if it can without a
-    /// pause that shows.
+    /// Chooses how a request leaves servers of its path `old` that are about to go, if it can do so
+    /// without a noticeable pause.
     ///
-    /// Left where it is, it would stall or break off when they go, together with all others there, and be
-    /// late. Nothing is chosen while the servers that would have to read its tokens are busy: there is time.
+    /// A request that stays is interrupted together with all others when the servers go. Returns
+    /// `None` while the replacements are busy with prefill, so that the caller can try again later.
     pub fn evacuate(
         &self,
         demand: Demand,
@@ -292,19 +293,21 @@
         old: &Path,
         may_reopen: bool,
     ) -> Option<Continuation> {
-        let is_gentle = |choice: &Choice| {
-            choice.first_event_ms <= SOON_MS && !choice.lacks_capacity() && !choice.is_last_resort()
+        let is_unnoticed = |choice: &Choice| {
+            choice.first_event_ms <= ACCEPTABLE_PAUSE_MS
+                && !choice.lacks_capacity()
+                && !choice.is_last_resort()
         };
         if let Some(choice) = self.repair(demand, context, old) {
-            return is_gentle(&choice).then_some(Continuation::Repair(choice));
+            return is_unnoticed(&choice).then_some(Continuation::Repair(choice));
         }
         let reopen = may_reopen.then(|| self.choose(demand, context)).flatten();
-        reopen.filter(is_gentle).map(Continuation::Reopen)
+        reopen.filter(is_unnoticed).map(Continuation::Reopen)
     }
 
-    /// Books what a request that takes `path` gives servers to read; parts of `old` have read it.
+    /// Records the prefill work of a request that moves to `path`; parts that `old` shares do none.
     ///
-    /// `herd_size` is how many requests this one stands for, see [`crate::pipeline::backlog::Backlog::herd_size`].
+    /// The work counts `herd_size` times, see [`crate::pipeline::backlog::Backlog::herd_size`].
     pub fn record_prefill(
         &self,
         load: &mut Load,
@@ -326,10 +329,10 @@
             };
             let requests = load.requests(&part.server);
             let held = part.layers.len();
-            let read_ms =
+            let prefill_ms =
                 self.model
                     .prefill_ms(candidate.profile, held, demand.prompt_tokens, requests);
-            load.backlog.add(now, &part.server, read_ms * herd_size);
+            load.backlog.add(now, &part.server, prefill_ms * herd_size);
         }
     }
 }
--- a/crates/core/src/pipeline/chooser/search.rs
+++ b/crates/core/src/pipeline/chooser/search.rs
@@ -1,4 +1,4 @@
-//! The cheapest walk over the layers that servers hold, and what a server costs a request.
+//! The search for the cheapest path, and the cost of a server to a request.
 
 use std::collections::BTreeSet;
 
@@ -7,41 +7,36 @@
 use super::Context;
 use super::Demand;
 use super::Fleet;
-use super::NO_ROOM_MS;
+use super::NO_CAPACITY_MS;
 use crate::layer::Range;
 use crate::pipeline::path::MAX_PARTS;
 use crate::pipeline::path::Part;
 use crate::pipeline::path::Path;
 
-/// How long one token takes from a part to the next in the same availability zone, in
-/// milliseconds; the users' figure for a link inside one.
+/// Network time of one token between parts in the same availability zone.
 const HOP_MS: f64 = 0.2;
-/// The same between availability zones, raised far over the link's 0.75 ms: activations there go
-/// through a pipe that all share and that is paid by the byte.
-const FAR_HOP_MS: f64 = 20.0;
-/// How much dearer a server is whose memory is all in use, beside its larger batches: the last of its
-/// room is kept for requests that have no other path.
-const CROWDING: f64 = 1.0;
-/// How long a stream lasts, in milliseconds, as far as reading prompts is concerned: in that time a
-/// server reads about one prompt for each request that it runs. Measured on calm days of the users'
-/// sites (2.1 s in the mean).
-const LASTS_MS: f64 = 2_000.0;
-/// The most of a server's time that reading is taken to fill.
-const MOST_READING: f64 = 0.8;
-/// How much of a server's room is given out. A request is booked with its whole answer from the start
-/// and holds half of that in the mean, so with the users' prompts and answers a tenth more fits. A
-/// server that runs out refuses, or preempts the newest request and reads it again; over sixteen of the
-/// users' days 0.85, 1.0, 1.1 and 1.15 were played, and 1.1 served the most in time.
-const USABLE: f64 = 1.1;
-/// What a part that stays in a path costs of its price as a new one: it has read the tokens so far,
-/// and its memory is taken already.
-const STAYS: f64 = 0.3;
+/// Cost of one token between parts in different availability zones. Far above the network time,
+/// because all traffic shares the link and is paid by the byte.
+const CROSS_ZONE_HOP_MS: f64 = 20.0;
+/// Relative cost increase of a server with no free KV memory, which keeps the last of its capacity
+/// for requests without another path.
+const FULL_MEMORY_SURCHARGE: f64 = 1.0;
+/// Mean duration of a stream, in which a server prefills about one prompt for each request that it
+/// runs.
+const STREAM_MS: f64 = 2_000.0;
+/// Maximum share of a server's time that prefill is assumed to take.
+const MAX_PREFILL_SHARE: f64 = 0.8;
+/// Overcommitment of KV capacity: requests are counted with their whole answer from the start, but
+/// hold half of it on average. A server that runs out refuses or preempts the newest request.
+const KV_OVERCOMMIT: f64 = 1.1;
+/// Cost of a part that stays in a path relative to a new one, since it needs no prefill.
+const KEPT_PART_FACTOR: f64 = 0.3;
 
 impl Fleet {
-    /// Finds the cheapest walk over some of the nodes.
+    /// Finds the cheapest path over some of the candidates.
     ///
-    /// The walk keeps one best way to each position. A server may stand in a path once only, so a
-    /// step that would use one again is left out; on rare occasions that misses a better walk.
+    /// Keeps only the cheapest way to each position. A path may use a server once only, so steps
+    /// that would repeat one are skipped, which in rare cases misses a cheaper path.
     pub(super) fn search<'a>(
         &self,
         candidates: impl Iterator<Item = &'a Candidate>,
@@ -65,7 +60,7 @@
                     let is_first = |f: &Part| f.server == candidate.server && f.layers == layers;
                     candidate.held.contains(layers)
                         && (*from > 0 || first.is_none_or(is_first))
-                        && !uses(&reached, *from, *index)
+                        && !visits(&reached, *from, *index)
                 })
                 .map(|(from, index)| {
                     let layers = Range::new(positions[from], positions[to]);
@@ -86,34 +81,40 @@
         let layers = f64::from(model.layers.max(1));
         let used = context.load.tokens(&candidate.server);
         let is_full = context.load.refusals.holds(context.now, &candidate.server);
-        let room = if is_full {
+        let capacity = if is_full {
             0.0
         } else {
-            candidate.kv_capacity * USABLE
+            candidate.kv_capacity * KV_OVERCOMMIT
         };
-        let full = if room > 0.0 { used / room } else { 1.0 };
-        let read_ms = demand.prompt_tokens / model.prefill_tokens_per_second.max(1.0)
+        let utilization = if capacity > 0.0 { used / capacity } else { 1.0 };
+        let prefill_ms = demand.prompt_tokens / model.prefill_tokens_per_second.max(1.0)
             * 1e3
             * candidate.profile.prefill_factor;
-        let write_ms = demand.answer_tokens * model.step_ms * candidate.profile.step_factor;
+        let decode_ms = demand.answer_tokens * model.step_ms * candidate.profile.step_factor;
         let slowness = context.load.slowness(context.now, &candidate.server);
         let requests = context.load.requests(&candidate.server);
         let share = f64::from(candidate.held.len()) / layers;
-        let usual_read_ms = model.mean_prompt_tokens / model.prefill_tokens_per_second.max(1.0)
+        let mean_prefill_ms = model.mean_prompt_tokens / model.prefill_tokens_per_second.max(1.0)
             * 1e3
             * candidate.profile.prefill_factor;
-        let reading = (requests as f64 * usual_read_ms * share / LASTS_MS).min(MOST_READING);
-        let busy = model.batch_factor(requests) / (1.0 - reading);
-        let crowded = busy * (1.0 + CROWDING * full.powi(4)) * slowness;
+        let prefill_share =
+            (requests as f64 * mean_prefill_ms * share / STREAM_MS).min(MAX_PREFILL_SHARE);
+        let batch_factor = model.batch_factor(requests) / (1.0 - prefill_share);
+        let load_factor =
+            batch_factor * (1.0 + FULL_MEMORY_SURCHARGE * utilization.powi(4)) * slowness;
         Priced {
             candidate,
-            per_layer_ms: (read_ms + write_ms) / layers * crowded,
-            once_ms: context.penalty_ms(&candidate.server),
-            read_layer_ms: model.prefill_ms(candidate.profile, 1, demand.prompt_tokens, requests)
-                * slowness,
+            per_layer_ms: (prefill_ms + decode_ms) / layers * load_factor,
+            penalty_ms: context.penalty_ms(&candidate.server),
+            prefill_layer_ms: model.prefill_ms(
+                candidate.profile,
+                1,
+                demand.prompt_tokens,
+                requests,
+            ) * slowness,
             wait_ms: context.load.backlog.wait_ms(context.now, &candidate.server),
-            ahead: context.ahead(&candidate.zone),
-            left: room - used,
+            herd_position: context.herd_position(&candidate.zone),
+            free_kv: capacity - used,
         }
     }
 
@@ -152,37 +153,37 @@
         Some(Choice {
             path,
             cost_ms: last.total_ms(),
-            first_event_ms: last.wait_ms + last.read_ms,
+            first_event_ms: last.wait_ms + last.prefill_ms,
         })
     }
 }
 
-/// A node and what its work costs this request.
+/// A candidate with its cost to the request.
 struct Priced<'a> {
     candidate: &'a Candidate,
     per_layer_ms: f64,
-    once_ms: f64,
-    /// How long the request's tokens take to read, a layer.
-    read_layer_ms: f64,
-    /// How long the server is busy with reading what it was given before.
+    penalty_ms: f64,
+    /// Prefill time of the request per layer.
+    prefill_layer_ms: f64,
+    /// Time until the server finishes its outstanding prefill work.
     wait_ms: f64,
-    /// How many requests that are moved at the same moment are taken to be ahead.
-    ahead: f64,
-    /// Room that is left, in tokens times layers.
-    left: f64,
+    /// Assumed number of requests ahead that move at the same moment.
+    herd_position: f64,
+    /// Free KV capacity, in token-layers.
+    free_kv: f64,
 }
 
-/// The best way to a position: from where, by which node, at what cost.
+/// The cheapest way to a position: the previous position, the candidate in between and the cost.
 #[derive(Clone, Copy)]
 struct Step {
     from: usize,
     candidate: usize,
     parts: usize,
     cost_ms: f64,
-    /// How long the parts that must read the request's tokens take for it.
-    read_ms: f64,
-    /// How long the busiest of them reads other requests first. Parts read one behind the other, in
-    /// pieces, so their waits overlap.
+    /// Total prefill time of the new parts.
+    prefill_ms: f64,
+    /// Longest wait of a new part for other prefill work. Prefill is pipelined over the parts in
+    /// chunks, so their waits overlap.
     wait_ms: f64,
 }
 
@@ -201,27 +202,27 @@
 ) -> Step {
     let priced = &candidates[candidate];
     let count = f64::from(layers.len());
-    let stays = |part: &Part| part.server == priced.candidate.server && part.layers == layers;
-    let stays = old.is_some_and(|path| path.parts().iter().any(stays));
+    let is_same = |part: &Part| part.server == priced.candidate.server && part.layers == layers;
+    let is_kept = old.is_some_and(|path| path.parts().iter().any(is_same));
     let mut cost_ms = priced.per_layer_ms * count;
-    let (mut read_ms, mut wait_ms) = (0.0, 0.0);
-    if stays {
-        cost_ms *= STAYS;
+    let (mut prefill_ms, mut wait_ms) = (0.0, 0.0);
+    if is_kept {
+        cost_ms *= KEPT_PART_FACTOR;
     } else {
-        read_ms = priced.read_layer_ms * count;
-        wait_ms = priced.wait_ms + priced.ahead * read_ms;
-        if demand.tokens() * count > priced.left {
-            cost_ms += NO_ROOM_MS;
+        prefill_ms = priced.prefill_layer_ms * count;
+        wait_ms = priced.wait_ms + priced.herd_position * prefill_ms;
+        if demand.tokens() * count > priced.free_kv {
+            cost_ms += NO_CAPACITY_MS;
         }
     }
-    cost_ms += priced.once_ms;
+    cost_ms += priced.penalty_ms;
     let mut parts = 1;
     if let Some(before) = reached[from].filter(|_| from > 0) {
         let same = candidates[before.candidate].candidate.zone == priced.candidate.zone;
-        let hop_ms = if same { HOP_MS } else { FAR_HOP_MS };
+        let hop_ms = if same { HOP_MS } else { CROSS_ZONE_HOP_MS };
         cost_ms += before.cost_ms + hop_ms * demand.tokens();
         parts = before.parts + 1;
-        read_ms += before.read_ms;
+        prefill_ms += before.prefill_ms;
         wait_ms = before.wait_ms.max(wait_ms);
     }
     if parts > MAX_PARTS {
@@ -232,13 +233,13 @@
         candidate,
         parts,
         cost_ms,
-        read_ms,
+        prefill_ms,
         wait_ms,
     }
 }
 
-/// Tells whether the best way to a position uses a node.
-fn uses(reached: &[Option<Step>], mut at: usize, candidate: usize) -> bool {
+/// Returns whether the cheapest way to a position uses a candidate.
+fn visits(reached: &[Option<Step>], mut at: usize, candidate: usize) -> bool {
     while at > 0 {
         let Some(step) = reached[at] else {
             return false;
