--- a/crates/core/src/pipeline/placement/gaps.rs
+++ b/crates/core/src/pipeline/placement/gaps.rs
@@ -1,40 +1,40 @@
-//! Closing a gap by the servers that can do so soonest and lose least.
+//! Closing gaps with the servers that can do so soonest and with the least disruption.
 
 use super::holder::Holder;
 use super::holder::Order;
 use super::holder::Phase;
-use super::holder::beside;
+use super::holder::layers_beside;
 use crate::layer;
 use crate::layer::Range;
 use crate::pipeline::model::Model;
 
-/// The most servers that close the gaps of one group; the widest gap, of the largest accelerator's layers, takes
-/// about that many of the smallest.
-pub(super) const MOST_CLOSING: usize = 6;
-/// What it costs to add to the layers that a server holds, in requests that are held up.
-const ADDING: f64 = 1.0;
-/// What it costs to give up layers beside the requests that pass through them.
-const MOVING: f64 = 3.0;
+/// Maximum number of servers that close the gaps of a group. About as many of the smallest
+/// accelerators hold the layers of the largest one.
+pub(super) const MAX_CLOSING: usize = 6;
+/// Cost of adding layers to those that a server holds, in delayed requests.
+const ADD_COST: f64 = 1.0;
+/// Cost of releasing layers besides the requests in flight on them, in delayed requests.
+const RELEASE_COST: f64 = 3.0;
 
-/// One way to close a part of a gap.
+/// A way to close a gap or a part of it.
 struct Choice {
     index: usize,
     layers: Range,
-    /// What it costs for each layer that it closes, in requests that are held up.
+    /// Delayed requests per layer closed.
     cost: f64,
     closes: u32,
 }
 
-/// Closes the gaps of a group as far as servers can that others stand in for.
+/// Closes the gaps of a group as far as possible without opening others.
 ///
-/// A server that gives up layers carries none of them from that moment on, and has the new ones only when the
-/// requests that pass have passed: seconds, in which it carries nothing. So those come first that keep what they
-/// hold, then those whose layers others carry, the fewest requests first. A layer's last holder is not taken.
+/// A server that releases layers serves nothing until its requests end and the new layers are
+/// loaded. Servers that keep their layers therefore come first, then those whose layers others
+/// serve, by the number of their requests. The last holder of a layer does not move.
 ///
-/// Each keeps `room` tokens of room beside its layers.
-pub(super) fn close(model: &Model, group: &mut [Holder], room: f64) -> Vec<Order> {
+/// Each server keeps KV capacity for `kv_tokens` tokens.
+pub(super) fn close(model: &Model, group: &mut [Holder], kv_tokens: f64) -> Vec<Order> {
     let mut orders: Vec<Order> = Vec::new();
-    for _ in 0..MOST_CLOSING {
+    for _ in 0..MAX_CLOSING {
         let gaps = layer::gaps(model.layers, group.iter().map(|holder| holder.assigned));
         let is_free = |index: &usize| {
             let holder = &group[*index];
@@ -45,7 +45,7 @@
         let free = (0..group.len()).filter(is_free);
         let choices = free.flat_map(|index| {
             let ways = gaps.iter().map(move |gap| (index, *gap));
-            ways.flat_map(|(index, gap)| choices(model, group, index, gap, room))
+            ways.flat_map(|(index, gap)| choices(model, group, index, gap, kv_tokens))
         });
         let best = choices.min_by(|a, b| {
             let by_cost = a.cost.total_cmp(&b.cost);
@@ -61,60 +61,66 @@
     orders
 }
 
-/// Returns the ways in which one server can close one gap, or a part of it.
-fn choices(model: &Model, group: &[Holder], index: usize, gap: Range, room: f64) -> Vec<Choice> {
+/// Returns the ways in which a server can close a gap or a part of it.
+fn choices(
+    model: &Model,
+    group: &[Holder],
+    index: usize,
+    gap: Range,
+    kv_tokens: f64,
+) -> Vec<Choice> {
     let holder = &group[index];
     let mut choices = Vec::new();
-    let mut offer = |layers: Range, closes: u32, harm: f64| {
+    let mut offer = |layers: Range, closes: u32, delayed: f64| {
         if closes > 0 {
             choices.push(Choice {
                 index,
                 layers,
-                cost: harm / f64::from(closes),
+                cost: delayed / f64::from(closes),
                 closes,
             });
         }
     };
-    let added = most(model, holder, room).saturating_sub(holder.assigned.len());
+    let added = max_layers(model, holder, kv_tokens).saturating_sub(holder.assigned.len());
     let added = added.min(gap.len());
     if holder.assigned.end == gap.start {
         let layers = Range::new(holder.assigned.start, gap.start + added);
-        offer(layers, added, ADDING);
+        offer(layers, added, ADD_COST);
     }
     if holder.assigned.start == gap.end {
         let layers = Range::new(gap.end - added, holder.assigned.end);
-        offer(layers, added, ADDING);
+        offer(layers, added, ADD_COST);
     }
-    if is_spare(model, group, index) {
-        let count = beside(model, holder.profile, room).min(gap.len());
-        let harm = MOVING + holder.requests as f64;
-        offer(Range::new(gap.start, gap.start + count), count, harm);
-        offer(Range::new(gap.end - count, gap.end), count, harm);
+    if is_redundant(model, group, index) {
+        let count = layers_beside(model, holder.profile, kv_tokens).min(gap.len());
+        let delayed = RELEASE_COST + holder.requests as f64;
+        offer(Range::new(gap.start, gap.start + count), count, delayed);
+        offer(Range::new(gap.end - count, gap.end), count, delayed);
     }
     choices
 }
 
-/// Returns the most layers that a server holds beside room for the requests that pass through it.
-fn most(model: &Model, holder: &Holder, room: f64) -> u32 {
-    let usual = model.mean_prompt_tokens + model.mean_answer_tokens;
-    let used = holder.requests as f64 * usual;
-    beside(model, holder.profile, used.max(room))
+/// Returns the maximum number of layers that a server can hold beside its requests in flight.
+fn max_layers(model: &Model, holder: &Holder, kv_tokens: f64) -> u32 {
+    let per_request = model.mean_prompt_tokens + model.mean_answer_tokens;
+    let used = holder.requests as f64 * per_request;
+    layers_beside(model, holder.profile, used.max(kv_tokens))
 }
 
-/// Tells whether others carry every layer that a server carries.
-fn is_spare(model: &Model, group: &[Holder], index: usize) -> bool {
+/// Returns whether others serve every layer that a server serves.
+fn is_redundant(model: &Model, group: &[Holder], index: usize) -> bool {
     let others = group
         .iter()
         .enumerate()
         .filter(|(other, _)| *other != index);
-    let carried = others.map(|(_, holder)| kept(holder));
+    let served = others.map(|(_, holder)| kept(holder));
     let own = group[index].serving;
-    layer::gaps(model.layers, carried)
+    layer::gaps(model.layers, served)
         .iter()
         .all(|gap| gap.end <= own.start || own.end <= gap.start)
 }
 
-/// Returns the layers that a server carries now and goes on to carry.
+/// Returns the layers that a server serves now and keeps.
 fn kept(holder: &Holder) -> Range {
     let start = holder.serving.start.max(holder.assigned.start);
     let end = holder.serving.end.min(holder.assigned.end);
--- a/crates/core/src/pipeline/placement/holder.rs
+++ b/crates/core/src/pipeline/placement/holder.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the plan sees them, and what it asks of them.
+//! Backend servers and the orders that a plan gives them.
 
 use crate::layer::Range;
 use crate::name::Zone;
@@ -6,44 +6,45 @@
 use crate::pipeline::model::Profile;
 use crate::pipeline::server::Incarnation;
 
-/// What a server is about.
+/// The progress of a server's last order.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Phase {
-    /// It holds what it was ordered to hold.
+    /// It holds the layers that it was ordered to hold.
     #[default]
     Settled,
-    /// It was ordered to hold other layers and loads them. Ordered elsewhere now, it would have
-    /// loaded in vain for seconds.
+    /// It loads other layers. A new order would waste the load.
     Loading,
-    /// It was ordered to hold other layers and waits for requests that pass through those that it gives up.
-    /// That takes as long as they run, and until then it refuses every other order.
+    /// It waits for requests on the layers that it releases, and refuses other orders until they
+    /// end.
     Blocked,
-    /// It joined empty a moment ago. In a release the server that it replaces says only now that
-    /// it drains; given other layers at once, it would have to load twice.
+    /// It joined empty a moment ago. In a rollout the server that it replaces is about to drain,
+    /// and an order before that would cause a second load.
     Joining,
 }
 
-/// A backend server as the plan sees it.
+/// A backend server that holds layers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holder {
-    /// Its name.
+    /// The server.
     pub server: Incarnation,
     /// Its availability zone.
     pub zone: Zone,
-    /// Its accelerator.
+    /// The profile of its accelerator.
     pub profile: Profile,
-    /// The layers that it holds, or that it was last ordered to hold.
+    /// The layers that it holds, or was last ordered to hold.
     pub assigned: Range,
-    /// The layers that requests can pass through now; others than it is ordered to hold until its order shows.
+    /// The layers that it serves now, which differ from the assigned ones until its order
+    /// completes.
     pub serving: Range,
-    /// The requests that pass through it now.
+    /// Number of requests in flight.
     pub requests: u64,
-    /// What it is about; a server that joined counts as settled while a layer has no holder.
+    /// The progress of its last order. A server that joined counts as settled while a layer has no
+    /// holder.
     pub phase: Phase,
 }
 
 impl Holder {
-    /// Returns a settled server through which no request passes.
+    /// Creates a settled holder without requests.
     #[must_use]
     pub fn new(server: Incarnation, zone: Zone, profile: Profile, assigned: Range) -> Self {
         Self {
@@ -58,29 +59,29 @@
     }
 }
 
-/// What becomes of requests that pass through layers which a server gives up.
+/// What happens to requests on the layers that a server releases.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Handover {
-    /// The server waits until they have passed, and loads then.
+    /// The server waits for them to end before it loads.
     #[default]
     Drain,
-    /// They are broken off, and the server loads at once.
+    /// They are interrupted, and the server loads at once.
     Break,
 }
 
 /// An order to hold layers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
-    /// To whom.
+    /// The server.
     pub server: Incarnation,
-    /// What it is to hold.
+    /// The layers to hold.
     pub layers: Range,
-    /// What becomes of the requests that pass.
+    /// What happens to requests on released layers.
     pub handover: Handover,
 }
 
 impl Order {
-    /// Returns an order that waits for what passes.
+    /// Creates an order that waits for requests to end.
     #[must_use]
     pub fn new(server: Incarnation, layers: Range) -> Self {
         Self {
@@ -90,9 +91,9 @@
         }
     }
 
-    /// Returns what becomes of the requests that pass if the order is given now.
+    /// Returns the handover if the order is sent now.
     ///
-    /// Planned while there was no path, it may be given again, after a refusal, when there is one.
+    /// An order planned without a path may be sent again, after a refusal, when there is one.
     #[must_use]
     pub fn effective_handover(&self, is_unserved: bool) -> Handover {
         match is_unserved {
@@ -102,18 +103,19 @@
     }
 }
 
-/// The most of one server's memory that weights take when it fills a gap that nobody else fills.
-pub(super) const GAP_SHARE: f64 = 0.97;
+/// Maximum share of a server's memory for weights.
+pub(super) const MAX_WEIGHT_SHARE: f64 = 0.97;
 
-/// Returns how many layers a server holds beside room for `room` tokens.
-pub(super) fn beside(model: &Model, profile: Profile, room: f64) -> u32 {
+/// Returns the number of layers that fit beside KV memory for `kv_tokens` tokens.
+pub(super) fn layers_beside(model: &Model, profile: Profile, kv_tokens: f64) -> u32 {
     const BYTES_PER_MB: f64 = 1e6;
-    let room_mb = room * model.kv_bytes_per_token / f64::from(model.layers.max(1)) / BYTES_PER_MB;
-    let layers = profile.memory_mb / (model.layer_mb + room_mb).max(1.0);
-    (layers as u32).min(model.max_layers(profile, GAP_SHARE))
+    let kv_mb =
+        kv_tokens * model.kv_bytes_per_token / f64::from(model.layers.max(1)) / BYTES_PER_MB;
+    let layers = profile.memory_mb / (model.layer_mb + kv_mb).max(1.0);
+    (layers as u32).min(model.max_layers(profile, MAX_WEIGHT_SHARE))
 }
 
-/// Returns the holders as they are once orders are carried out.
+/// Returns the holders as they are after the orders complete.
 pub(super) fn apply(group: &[Holder], orders: &[Order]) -> Vec<Holder> {
     let mut group = group.to_vec();
     for holder in &mut group {
--- a/crates/core/src/pipeline/placement/layers.rs
+++ b/crates/core/src/pipeline/placement/layers.rs
@@ -1,34 +1,36 @@
-//! What the holders of each layer have between them.
+//! KV capacity per layer, and the cost that the planner minimizes.
 
 use super::holder::Holder;
 use crate::pipeline::model::Model;
 
-/// What a layer without any holder counts as, in tokens: little, so that the first holder of each
-/// such layer is worth more than anything else.
-pub(super) const NOTHING: f64 = 500.0;
+/// Capacity added to every layer when computing costs, in tokens. It keeps the cost of a layer
+/// without a holder finite, and is small so that the first holder of a layer lowers the cost most.
+const BASE_CAPACITY_TOKENS: f64 = 500.0;
+
+/// Returns the cost of a group's placement.
 pub(super) fn cost(model: &Model, group: &[Holder]) -> f64 {
     Layers::of(model, group).cost()
 }
 
-/// What the holders of each layer have between them.
+/// Totals over the holders of each layer.
 #[derive(Clone, Debug)]
 pub(super) struct Layers {
-    /// Room, in tokens.
-    room: Vec<f64>,
-    /// Room times the pace of its holder.
-    paced: Vec<f64>,
-    /// The pace that a layer without a holder counts with: the slowest of all.
+    /// KV capacity, in tokens.
+    capacity: Vec<f64>,
+    /// KV capacity weighted by the step factors of the holders.
+    weighted: Vec<f64>,
+    /// Step factor of the slowest accelerator, assumed for layers without a holder.
     slowest: f64,
 }
 
 impl Layers {
     pub(super) fn of(model: &Model, group: &[Holder]) -> Self {
         let count = model.layers as usize;
-        let paces = model.profiles.values().map(|profile| profile.step_factor);
+        let step_factors = model.profiles.values().map(|profile| profile.step_factor);
         let mut layers = Self {
-            room: vec![0.0; count],
-            paced: vec![0.0; count],
-            slowest: paces.fold(1.0, f64::max),
+            capacity: vec![0.0; count],
+            weighted: vec![0.0; count],
+            slowest: step_factors.fold(1.0, f64::max),
         };
         for holder in group {
             layers.add(model, holder, 1.0);
@@ -42,33 +44,35 @@
         }
         let each = model.kv_capacity(holder.profile, holder.assigned.len())
             / f64::from(holder.assigned.len());
-        let end = holder.assigned.end.min(self.room.len() as u32);
+        let end = holder.assigned.end.min(self.capacity.len() as u32);
         for layer in holder.assigned.start as usize..end as usize {
-            self.room[layer] += sign * each;
-            self.paced[layer] += sign * each * holder.profile.step_factor;
+            self.capacity[layer] += sign * each;
+            self.weighted[layer] += sign * each * holder.profile.step_factor;
         }
     }
 
-    /// Returns how hard it is for requests to pass: how long one takes, over how many there is room
-    /// for at a time.
+    /// Returns the time of a request divided by the number of concurrent requests, up to a
+    /// constant.
     ///
-    /// The room that counts is that of the fullest layers; the power lets the others count a little,
-    /// so that each of several moves that together close a gap shows as a gain.
+    /// The layers with the least capacity limit the concurrency. A power mean instead of the
+    /// minimum gives the other layers some weight, so that each of several moves that together
+    /// close a gap lowers the cost.
     pub(super) fn cost(&self) -> f64 {
         let mut step_factor = 0.0;
-        let mut tightness = 0.0;
-        for (room, paced) in self.room.iter().zip(&self.paced) {
-            let room = room.max(0.0);
-            step_factor += (paced + NOTHING * self.slowest) / (room + NOTHING);
-            tightness += (room + NOTHING).recip().powi(8);
+        let mut scarcity = 0.0;
+        for (capacity, weighted) in self.capacity.iter().zip(&self.weighted) {
+            let capacity = capacity.max(0.0);
+            step_factor += (weighted + BASE_CAPACITY_TOKENS * self.slowest)
+                / (capacity + BASE_CAPACITY_TOKENS);
+            scarcity += (capacity + BASE_CAPACITY_TOKENS).recip().powi(8);
         }
-        step_factor * tightness.powf(1.0 / 8.0)
+        step_factor * scarcity.powf(1.0 / 8.0)
     }
 }
 
-/// Returns the tokens that a group carries: those of its fullest layer over all holders of it.
+/// Returns the KV capacity of a group, in tokens: that of the layer with the least.
 #[must_use]
 pub fn capacity(model: &Model, group: &[Holder]) -> f64 {
     let layers = Layers::of(model, group);
-    layers.room.into_iter().fold(f64::INFINITY, f64::min)
+    layers.capacity.into_iter().fold(f64::INFINITY, f64::min)
 }
--- a/crates/core/src/pipeline/placement/mod.rs
+++ b/crates/core/src/pipeline/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Which layers each backend server is to hold.
+//! Placement of layers on backend servers.
 //!
-//! The plan is a pure function of what the servers hold and have been ordered to hold. A planner
-//! that knows nothing therefore goes on where the one before it stopped.
+//! The plan is a pure function of the layers that servers hold and have been ordered to hold, so a
+//! new planner continues where the previous one stopped.
 
 mod gaps;
 mod holder;
@@ -20,24 +20,21 @@
 pub use holder::Phase;
 pub use layers::capacity;
 
-/// Returns the orders that bring the holders nearer to a good placement; none when it is good.
+/// Returns the orders that improve the placement; none if it is good.
 ///
-/// A group is an availability zone with memory for a copy of the model; zones without are put
-/// together in one group.
+/// Each availability zone with enough memory for a replica of the model is planned on its own. The
+/// other zones form one group.
 ///
-/// While no request can pass through the whole model anywhere, waiting costs every caller: layers that a server holds
-/// only once the requests on it have ended close no gap, and orders break off what passes. As soon as there is a
-/// path, orders wait again, since each that does not breaks off the streams of its server.
+/// While no complete path exists anywhere, orders interrupt running requests instead of waiting for
+/// them, and layers that a blocked server would hold later close no gap. Once a path exists, orders
+/// wait again, because each that does not interrupts the streams of its server.
 #[must_use]
 pub fn plan(model: &Model, holders: &[Holder]) -> Vec<Order> {
     if model.layers == 0 {
         return Vec::new();
     }
-    let is_unserved = !repair::carries(model, holders);
-    let holders: Vec<Holder> = holders
-        .iter()
-        .map(|h| as_believed(h, is_unserved))
-        .collect();
+    let is_unserved = !repair::has_path(model, holders);
+    let holders: Vec<Holder> = holders.iter().map(|h| effective(h, is_unserved)).collect();
     let mut orders = Vec::new();
     for group in groups(model, &holders) {
         if group.iter().all(|holder| holder.assigned.is_empty()) {
@@ -46,7 +43,7 @@
             orders.extend(repair::repair(model, &group));
         }
     }
-    orders.retain(|order| is_safe(model, &holders, order));
+    orders.retain(|order| fits_memory(model, &holders, order));
     if is_unserved {
         for order in &mut orders {
             order.handover = Handover::Break;
@@ -55,8 +52,8 @@
     orders
 }
 
-/// Returns a holder with the layers that are to count as its own.
-fn as_believed(holder: &Holder, is_unserved: bool) -> Holder {
+/// Returns a holder with the layers that count as assigned to it.
+fn effective(holder: &Holder, is_unserved: bool) -> Holder {
     let mut holder = holder.clone();
     if is_unserved && holder.phase == Phase::Blocked {
         holder.assigned = holder.serving;
@@ -64,15 +61,14 @@
     holder
 }
 
-/// Tells whether a server has the memory for what it is ordered to hold.
-///
-/// A server that is ordered to hold more crashes with all requests on it.
-fn is_safe(model: &Model, holders: &[Holder], order: &Order) -> bool {
+/// Returns whether an order fits the server's memory. A server ordered to hold more would crash
+/// with all its requests.
+fn fits_memory(model: &Model, holders: &[Holder], order: &Order) -> bool {
     let holder = holders.iter().find(|holder| holder.server == order.server);
-    let fits = holder.map_or(0, |holder| {
-        model.max_layers(holder.profile, holder::GAP_SHARE)
+    let max_layers = holder.map_or(0, |holder| {
+        model.max_layers(holder.profile, holder::MAX_WEIGHT_SHARE)
     });
-    !order.layers.is_empty() && order.layers.end <= model.layers && order.layers.len() <= fits
+    !order.layers.is_empty() && order.layers.end <= model.layers && order.layers.len() <= max_layers
 }
 
 fn groups(model: &Model, holders: &[Holder]) -> Vec<Vec<Holder>> {
@@ -81,16 +77,16 @@
         let zone = zones.entry(holder.zone.clone()).or_default();
         zone.push(holder.clone());
     }
-    let complete = |group: &[Holder]| -> bool {
-        let fits = group
+    let is_sufficient = |group: &[Holder]| -> bool {
+        let max_layers = group
             .iter()
-            .map(|h| model.max_layers(h.profile, holder::GAP_SHARE));
-        fits.sum::<u32>() >= model.layers
+            .map(|h| model.max_layers(h.profile, holder::MAX_WEIGHT_SHARE));
+        max_layers.sum::<u32>() >= model.layers
     };
-    let (whole, partial): (Vec<_>, Vec<_>) = zones.into_values().partition(|g| complete(g));
+    let (mut groups, partial): (Vec<_>, Vec<_>) =
+        zones.into_values().partition(|g| is_sufficient(g));
     let rest: Vec<Holder> = partial.into_iter().flatten().collect();
-    let mut groups = whole;
-    if complete(&rest) {
+    if is_sufficient(&rest) {
         groups.push(rest);
     }
     groups
