--- a/crates/core/tests/placement.rs
+++ b/crates/core/tests/placement.rs
@@ -1,8 +1,4 @@
 //! Placement of layers on backend servers.
-//!
-//! The pattern of load: callers of each availability zone send about 27 streams a second that last
-//! two seconds and hold 1,000 tokens, so that a zone needs room for some 54,000 tokens on a calm
-//! day (the users' sheets: 88.6 requests a second in three zones, 89 in 100 of them streams).
 
 #[path = "support/pipeline.rs"]
 mod pipeline;
@@ -21,8 +17,8 @@
 use pipeline::profile;
 use pipeline::region;
 
-/// What a zone carries of a calm day, in tokens.
-const CALM: f64 = 54_000.0;
+/// Load of one zone at normal traffic: 27 streams per second of two seconds and 1,000 tokens each.
+const NORMAL_TOKENS: f64 = 54_000.0;
 
 fn zone(holders: &[Holder], name: &str) -> Vec<Holder> {
     let inside = holders.iter().filter(|holder| &*holder.zone.0 == name);
@@ -44,22 +40,22 @@
 }
 
 #[test]
-fn empty_zones_carry_a_calm_day_with_half_as_much_again() {
+fn empty_zones_are_placed_with_headroom() {
     let model = model();
 
     let placed = carried_out(&region(), &plan(&model, &region()));
 
     for name in ["a", "b", "c"] {
-        let carried = capacity(&model, &zone(&placed, name));
+        let tokens = capacity(&model, &zone(&placed, name));
         assert!(
-            carried >= 1.5 * CALM,
-            "zone {name} carries {carried} tokens"
+            tokens >= 1.5 * NORMAL_TOKENS,
+            "zone {name} has capacity for {tokens} tokens"
         );
     }
 }
 
 #[test]
-fn a_settled_plan_asks_for_nothing_more() {
+fn a_settled_placement_gets_no_orders() {
     let model = model();
 
     let placed = settled(&model, &region());
@@ -67,12 +63,10 @@
     assert_eq!(plan(&model, &placed), []);
 }
 
-/// Callers of a zone find a path again after any one of its servers is gone.
-///
-/// One server dies for good; its layers have no holder, or one with little room. The planner moves
-/// servers whose layers others hold as well. The zone then carries a calm day.
+/// Guards against a zone without a path, or with too little capacity, after the loss of any one
+/// server.
 #[test]
-fn any_single_death_is_mended() {
+fn the_loss_of_any_server_is_repaired() {
     let model = model();
     let placed = settled(&model, &region());
 
@@ -80,19 +74,19 @@
         let mut left = zone(&placed, &dead.zone.0);
         left.retain(|holder| holder.server != dead.server);
 
-        let mended = settled(&model, &left);
+        let repaired = settled(&model, &left);
 
-        let carried = capacity(&model, &mended);
+        let tokens = capacity(&model, &repaired);
         assert!(
-            carried >= CALM,
-            "without {} it carries {carried}",
+            tokens >= NORMAL_TOKENS,
+            "without {} it has capacity for {tokens} tokens",
             dead.server
         );
     }
 }
 
 #[test]
-fn a_mend_moves_few_servers() {
+fn a_repair_moves_few_servers() {
     let model = model();
     let placed = settled(&model, &region());
 
@@ -111,10 +105,9 @@
     }
 }
 
-/// A server that restarts comes back empty under a new name and gets layers at once; the others
-/// stay as they are, so that nothing else stops.
+/// Guards against moves of other servers when a restarted one joins empty under a new name.
 #[test]
-fn a_server_that_joins_gets_layers_and_moves_nobody() {
+fn a_joining_server_gets_layers_and_moves_no_other() {
     let model = model();
     let mut holders = settled(&model, &region());
     let joined = Holder::new("new".into(), "b".into(), profile("l4"), Range::default());
@@ -126,10 +119,7 @@
     assert_eq!(&*orders[0].server.server.0, "new");
 }
 
-/// Callers find a path again when only just enough servers are left.
-///
-/// Two servers of four are left, and hold layers that leave one without a holder. Moving either
-/// opens another gap, so both must move.
+/// Guards against a permanent gap when moving either of two servers alone opens another gap.
 #[test]
 fn a_gap_that_no_single_move_closes_is_closed() {
     let mut model = model();
@@ -140,17 +130,15 @@
     left[0].assigned = Range::new(0, 3);
     left[1].assigned = Range::new(3, 7);
 
-    let mended = settled(&model, &left);
+    let repaired = settled(&model, &left);
 
-    assert!(capacity(&model, &mended) > 0.0);
+    assert!(capacity(&model, &repaired) > 0.0);
 }
 
-/// A release costs one load a server, not two.
-///
-/// The new server joins first, and the old one says a moment later that it drains. The new one waits
-/// that moment and then gets the old one's layers; nobody else moves.
+/// Guards against two loads per server in a rollout, in which the new server joins shortly before
+/// the old one starts to drain.
 #[test]
-fn a_replacement_takes_the_layers_of_the_one_that_leaves() {
+fn a_replacement_gets_the_layers_of_the_leaving_server() {
     let model = model();
     let mut holders = settled(&model, &region());
     let leaver = zone(&holders, "b")
@@ -165,7 +153,7 @@
         ..leaver.clone()
     });
 
-    assert_eq!(plan(&model, &holders), [], "it waits a moment");
+    assert_eq!(plan(&model, &holders), [], "it waits for the drain");
     holders.retain(|holder| holder.server != leaver.server);
     for holder in &mut holders {
         holder.phase = Phase::Settled;
@@ -177,9 +165,8 @@
     assert!(orders[0].layers.start <= leaver.assigned.start + 3);
 }
 
-/// A server that loads is not sent elsewhere while its zone serves.
 #[test]
-fn a_loading_server_is_left_to_load() {
+fn a_loading_server_stays_while_its_zone_serves() {
     let model = model();
     let mut holders = settled(&model, &region());
     for holder in &mut holders {
@@ -193,9 +180,9 @@
     assert_eq!(plan(&model, &holders), []);
 }
 
-/// Zones that have no memory for a copy of the model are placed as one group.
+/// Zones without memory for a whole replica are placed as one group.
 #[test]
-fn small_zones_share_a_copy() {
+fn small_zones_share_a_replica() {
     let model = model();
     let mut small = holders("a", &[("l40s", 2)]);
     small.extend(holders("b", &[("l40s", 2)]));
@@ -206,7 +193,7 @@
 }
 
 #[test]
-fn too_little_memory_gets_no_orders() {
+fn insufficient_memory_gets_no_orders() {
     let model = model();
     let few = holders("a", &[("l4", 3)]);
 
@@ -215,15 +202,16 @@
 
 fn any_holders() -> impl Strategy<Value = Vec<Holder>> {
     let one = (0..3_usize, 0..3_usize, 0..80_u32, 0..13_u32);
-    proptest::collection::vec(one, 1..24).prop_map(|rows| {
-        let rows = rows.into_iter().enumerate();
-        rows.map(|(index, (zone, name, start, count))| {
-            let server = format!("s{index}").as_str().into();
-            let zone = ["a", "b", "c"][zone].into();
-            let held = Range::new(start, (start + count).min(80));
-            Holder::new(server, zone, profile(["a100", "l40s", "l4"][name]), held)
-        })
-        .collect()
+    proptest::collection::vec(one, 1..24).prop_map(|servers| {
+        let servers = servers.into_iter().enumerate();
+        servers
+            .map(|(index, (zone, name, start, count))| {
+                let server = format!("s{index}").as_str().into();
+                let zone = ["a", "b", "c"][zone].into();
+                let held = Range::new(start, (start + count).min(80));
+                Holder::new(server, zone, profile(["a100", "l40s", "l4"][name]), held)
+            })
+            .collect()
     })
 }
 
@@ -235,7 +223,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// No order ever asks for more layers than a server's memory holds: it would crash.
+    /// Guards against orders that exceed a server's memory and crash it.
     #[test]
     fn no_order_exceeds_memory(holders in any_holders()) {
         let model = model();
@@ -246,7 +234,7 @@
         }
     }
 
-    /// A group that can carry requests is never left without a path by the plan itself.
+    /// Guards against plans that open a gap in a group that has none.
     #[test]
     fn no_plan_opens_a_gap(holders in any_holders()) {
         let model = model();
@@ -258,7 +246,8 @@
         }
     }
 
-    /// The plan depends on what servers hold only: a new planner goes on where the last one was.
+    /// Guards against hidden state, with which a new planner would undo the moves of the previous
+    /// one.
     #[test]
     fn a_new_planner_makes_the_same_plan(holders in any_holders()) {
         let model = model();
