--- a/crates/core/tests/assignments.rs
+++ b/crates/core/tests/assignments.rs
@@ -1,4 +1,4 @@
-//! Orders to hold layers, from the moment they are given until they show.
+//! Orders to hold layers, from sending until they appear in the registrations.
 
 #[path = "support/pipeline.rs"]
 mod pipeline;
@@ -24,13 +24,13 @@
 }
 
 fn phase(orders: &Assignments, now: u64, requests: u64) -> Phase {
-    let given = orders.get(&"a".into());
-    given.map_or(Phase::Settled, |given| {
-        given.phase(Instant(now), requests, &model(), orders.len())
+    let assignment = orders.get(&"a".into());
+    assignment.map_or(Phase::Settled, |assignment| {
+        assignment.phase(Instant(now), requests, &model(), orders.len())
     })
 }
 
-/// Guards against gaps that the next planner takes for closed, though no server ever took the order.
+/// Guards against a gap that the next planner assumes closed by an order that no server accepted.
 #[test]
 fn an_order_that_no_server_accepted_is_not_inherited() {
     let (accepted, lost) = (
@@ -50,9 +50,9 @@
     );
 }
 
-/// Guards against an order that counts as good as done while its server waits for requests.
+/// Guards against an order that counts as loading while its server waits for requests.
 #[test]
-fn a_server_with_requests_waits_unless_they_are_broken_off() {
+fn a_server_with_requests_is_blocked_unless_they_are_interrupted() {
     for (handover, requests, expected) in [
         (Handover::Drain, 3, Phase::Blocked),
         (Handover::Drain, 0, Phase::Loading),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_server_that_keeps_its_layers_waits_for_nothing() {
+fn a_server_that_keeps_its_layers_is_not_blocked() {
     let mut orders = Assignments::default();
     let added = Order::new("a".into(), Range::new(0, 16));
 
@@ -75,9 +75,9 @@
     assert_eq!(phase(&orders, 100, 3), Phase::Loading);
 }
 
-/// Guards against runs that nobody reads any more: they hold a load up, and no entry knows of them.
+/// Guards against requests that no entry tracks any more but that still delay a load.
 #[test]
-fn a_load_that_is_overdue_counts_as_held_up() {
+fn an_overdue_load_counts_as_blocked() {
     let mut orders = Assignments::default();
     orders.record(Instant(0), &order(Handover::Drain), HELD);
 
@@ -85,9 +85,9 @@
     assert_eq!(phase(&orders, 2_901, 0), Phase::Blocked);
 }
 
-/// Loads that share the weight store's rate take as many times longer.
+/// Loads beyond the concurrent ones share the bandwidth and take proportionally longer.
 #[test]
-fn loads_beyond_the_rate_are_due_later() {
+fn concurrent_loads_take_longer() {
     let mut orders = Assignments::default();
     for server in ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"] {
         let order = Order::new(server.into(), Range::new(8, 16));
@@ -98,9 +98,9 @@
     assert_eq!(phase(&orders, 4_301, 0), Phase::Blocked);
 }
 
-/// Guards against plans that count on a server which carries out another order first.
+/// Guards against plans that rely on a server that still executes another order.
 #[test]
-fn a_refused_order_waits_until_it_is_accepted() {
+fn a_refused_order_is_blocked_until_accepted() {
     let mut orders = Assignments::default();
     let order = order(Handover::Break);
     orders.record(Instant(0), &order, HELD);
@@ -112,15 +112,15 @@
 }
 
 #[test]
-fn an_order_that_shows_is_told_once_and_dropped() {
+fn a_completed_order_is_reported_once_and_dropped() {
     let mut orders = Assignments::default();
     let order = order(Handover::Drain);
     orders.record(Instant(0), &order, HELD);
 
     let early = orders.settle(Instant(100), |_| Some(HELD));
-    let shown = orders.settle(Instant(700), |_| Some(order.layers));
+    let completed = orders.settle(Instant(700), |_| Some(order.layers));
 
     assert_eq!(early, []);
-    assert_eq!(shown.len(), 1);
+    assert_eq!(completed.len(), 1);
     assert!(orders.is_empty());
 }
