--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -1,9 +1,7 @@
-//! Where streams go when a server dies under load.
+//! Moves of streams away from a server that dies or drains.
 //!
-//! The pattern of load: twenty entries have five streams each on one row of fast accelerators, of 760
-//! prompt tokens and 200 answer tokens (the users' means). A server in the middle of the row dies, and
-//! all entries move all streams within some milliseconds, before they can hear of one another's moves.
-//! What counts is how long the busiest server reads: a pause of over 200 ms makes an answer late.
+//! Twenty entries have five streams each on one replica and move them at the same moment, before
+//! they receive reports of each other's moves.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails must panic")]
 
@@ -21,6 +19,7 @@
 use jujube_core::pipeline::load::Load;
 use jujube_core::pipeline::load::Usage;
 use jujube_core::pipeline::outlier::Outliers;
+use jujube_core::pipeline::path::Part;
 use jujube_core::pipeline::path::Path;
 use jujube_core::pipeline::placement::plan;
 use jujube_core::pipeline::server::Incarnation;
@@ -43,10 +42,8 @@
     prompt_tokens: 760.0,
     answer_tokens: 200.0,
 };
-/// A little later than the loss.
 const NOW: Instant = Instant(10);
 
-/// What an entry chooses by when it is alone.
 fn context<'a>(load: &'a Load, suspicion: &'a Suspicion, local_zone: &'a Zone) -> Context<'a> {
     Context {
         now: NOW,
@@ -60,33 +57,33 @@
     }
 }
 
-/// What one entry knows of the others' streams on a path.
-fn told(path: &Path) -> Vec<(Incarnation, Usage)> {
+/// The load that the other entries report on a path.
+fn reported(path: &Path) -> Vec<(Incarnation, Usage)> {
     let requests = ((ENTRIES - 1) * STREAMS) as u64;
-    let used = |layers: u32| Usage {
+    let usage = |layers: u32| Usage {
         tokens: DEMAND.tokens() * f64::from(layers) * requests as f64,
         requests,
     };
     let parts = path.parts().iter();
-    let parts = parts.map(|part| (part.server.clone(), used(part.layers.len())));
+    let parts = parts.map(|part| (part.server.clone(), usage(part.layers.len())));
     parts.collect()
 }
 
-/// What an entry has in flight and hears of when a server of the path is lost.
+/// The load that an entry knows when a server of the path is lost.
 fn load(path: &Path, dead: &Incarnation) -> Load {
     let mut load = Load::default();
     for _ in 0..STREAMS {
         load.start_path(path, DEMAND.tokens());
     }
-    load.set_others(ENTRIES as u64 - 1, told(path).into_iter().collect());
+    load.set_others(ENTRIES as u64 - 1, reported(path).into_iter().collect());
     load.server_lost(NOW, dead);
     load
 }
 
-/// Books what a move really gives servers to read, in milliseconds.
-fn add_reading(
+/// Adds the prefill time of a move to each server's total, in milliseconds.
+fn add_prefill(
     fleet: &Fleet,
-    reading: &mut BTreeMap<Incarnation, f64>,
+    prefill: &mut BTreeMap<Incarnation, f64>,
     path: &Path,
     old: Option<&Path>,
 ) {
@@ -98,38 +95,38 @@
             .find(|n| n.server == part.server)
             .unwrap();
         let model = &fleet.model;
-        let read_ms = model.prefill_ms(
+        let prefill_ms = model.prefill_ms(
             candidate.profile,
             part.layers.len(),
             DEMAND.prompt_tokens,
             0,
         );
-        *reading.entry(part.server.clone()).or_default() += read_ms;
+        *prefill.entry(part.server.clone()).or_default() += prefill_ms;
     }
 }
 
-/// Moves all streams of all entries; returns how long each server reads.
+/// Moves all streams of all entries and returns each server's prefill time.
 ///
-/// Without `counts_crowd` each entry chooses as if it were alone and forgets what it gave out.
-fn moved(counts_crowd: bool) -> BTreeMap<Incarnation, f64> {
+/// Without `counts_herd`, each entry ignores the other entries' moves and its own earlier ones.
+fn move_all(counts_herd: bool) -> BTreeMap<Incarnation, f64> {
     let model = model();
     let holders = region();
     let fleet = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
     let local_zone: Zone = "b".into();
-    let calm = (Load::default(), Suspicion::default());
+    let idle = (Load::default(), Suspicion::default());
     let old = fleet
-        .choose(DEMAND, &context(&calm.0, &calm.1, &local_zone))
+        .choose(DEMAND, &context(&idle.0, &idle.1, &local_zone))
         .unwrap();
     let old = old.path;
     let dead = old.parts()[1].server.clone();
     let mut suspicion = Suspicion::default();
     suspicion.accuse(NOW, &dead);
     let mut draws = StdRng::seed_from_u64(7);
-    let mut reading = BTreeMap::new();
+    let mut prefill = BTreeMap::new();
     for _ in 0..ENTRIES {
         let mut load = load(&old, &dead);
         for _ in 0..STREAMS {
-            let herd_size = if counts_crowd {
+            let herd_size = if counts_herd {
                 load.backlog.herd_size(NOW, &old)
             } else {
                 1.0
@@ -139,40 +136,38 @@
                 random: draws.random(),
                 ..context(&load, &suspicion, &local_zone)
             };
-            let (path, stays) = match fleet.recover(DEMAND, &context, &old, true).unwrap() {
+            let (path, kept) = match fleet.recover(DEMAND, &context, &old, true).unwrap() {
                 Continuation::Repair(choice) => (choice.path, Some(&old)),
                 Continuation::Reopen(choice) => (choice.path, None),
             };
-            if counts_crowd {
-                fleet.record_prefill(&mut load, NOW, DEMAND, &path, stays, herd_size);
+            if counts_herd {
+                fleet.record_prefill(&mut load, NOW, DEMAND, &path, kept, herd_size);
             }
-            add_reading(&fleet, &mut reading, &path, stays);
+            add_prefill(&fleet, &mut prefill, &path, kept);
         }
     }
-    reading
+    prefill
 }
 
-fn longest(reading: &BTreeMap<Incarnation, f64>) -> f64 {
-    reading.values().copied().fold(0.0, f64::max)
+fn longest(prefill: &BTreeMap<Incarnation, f64>) -> f64 {
+    prefill.values().copied().fold(0.0, f64::max)
 }
 
-/// The callers see pauses less than half as long as when every entry chooses alone.
-///
-/// Alone, each finds the same stand-in cheapest, and it reads the tokens of a hundred streams one
-/// after the other.
+/// Guards against all entries moving their streams to the same replacement, which would prefill
+/// them one after the other.
 #[test]
 fn streams_of_a_dead_server_are_spread() {
-    let alone = longest(&moved(false));
+    let alone = longest(&move_all(false));
 
-    let spread = longest(&moved(true));
+    let spread = longest(&move_all(true));
 
     assert!(
         spread < alone / 2.0,
-        "the busiest server reads {spread:.0} ms, {alone:.0} ms when entries choose alone"
+        "the busiest server prefills for {spread:.0} ms, {alone:.0} ms when entries choose alone"
     );
 }
 
-/// A single stream keeps its first part, which has read its tokens.
+/// A single stream keeps its first part, which needs no prefill.
 #[test]
 fn a_single_stream_is_repaired() {
     let model = model();
@@ -180,9 +175,9 @@
     let fleet = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
     let local_zone: Zone = "b".into();
     let (load, mut suspicion) = (Load::default(), Suspicion::default());
-    let calm = suspicion.clone();
+    let unsuspecting = suspicion.clone();
     let old = fleet
-        .choose(DEMAND, &context(&load, &calm, &local_zone))
+        .choose(DEMAND, &context(&load, &unsuspecting, &local_zone))
         .unwrap()
         .path;
     let last = old.parts().last().unwrap().server.clone();
@@ -197,9 +192,8 @@
     assert!(!choice.path.contains(&last));
 }
 
-/// A new request is not sent where much is still to be read.
 #[test]
-fn a_backlog_turns_new_requests_away() {
+fn new_requests_avoid_servers_with_a_backlog() {
     let model = model();
     let holders = region();
     let fleet = fleet(&model, &carried_out(&holders, &plan(&model, &holders)));
@@ -209,18 +203,18 @@
         let choice = fleet.choose(DEMAND, &context(load, &suspicion, &local_zone));
         choice.unwrap().path
     };
-    let calm = choose(&load);
-    for part in calm.parts() {
+    let before = choose(&load);
+    for part in before.parts() {
         load.backlog.add(NOW, &part.server, 5_000.0);
     }
 
     let path = choose(&load);
 
-    let passes = |part: &jujube_core::pipeline::path::Part| calm.contains(&part.server);
-    assert!(!path.parts().iter().any(passes));
+    let is_busy = |part: &Part| before.contains(&part.server);
+    assert!(!path.parts().iter().any(is_busy));
 }
 
-/// The best path, and the servers that are left when a part in its middle leaves.
+/// The best path, and the fleet without the server of its second part.
 fn without_a_part(context: &Context<'_>) -> (Path, Fleet) {
     let model = model();
     let holders = region();
@@ -235,24 +229,21 @@
     (path, left)
 }
 
-/// What streams lose when a server of a row leaves as planned.
-///
-/// The pattern of load: a hundred streams of all entries pass a server that drains. It serves on for two
-/// seconds and is then gone; whoever is still there then is late. One server reads one stream's tokens in
-/// some milliseconds, so a second is enough to move them one by one with pauses that do not show.
+/// Guards against noticeable pauses, and against streams left behind, when a hundred streams leave
+/// a draining server one by one.
 #[test]
-fn streams_leave_a_draining_server_without_pauses_that_show() {
-    const ALLOWED_MS: f64 = 200.0;
-    const LOOK_MS: u64 = 25;
+fn streams_leave_a_draining_server_without_noticeable_pauses() {
+    const MAX_PAUSE_MS: f64 = 200.0;
+    const INTERVAL_MS: u64 = 25;
     let local_zone: Zone = "b".into();
     let (mut load, suspicion) = (Load::default(), Suspicion::default());
     let (old, left) = without_a_part(&context(&load, &suspicion, &local_zone));
-    let mut waiting = ENTRIES * STREAMS;
-    let mut reads_until: BTreeMap<Incarnation, f64> = BTreeMap::new();
+    let mut remaining = ENTRIES * STREAMS;
+    let mut busy_until: BTreeMap<Incarnation, f64> = BTreeMap::new();
     let mut longest_ms: f64 = 0.0;
 
-    for look in 0..40 {
-        let now = Instant(look * LOOK_MS);
+    for round in 0..40 {
+        let now = Instant(round * INTERVAL_MS);
         let context = Context {
             now,
             ..context(&load, &suspicion, &local_zone)
@@ -264,25 +255,25 @@
             Continuation::Repair(choice) => (&choice.path, Some(&old)),
             Continuation::Reopen(choice) => (&choice.path, None),
         };
-        let mut reading = BTreeMap::new();
-        add_reading(&left, &mut reading, path, kept);
-        for (server, read_ms) in reading {
-            let until = reads_until.entry(server).or_default();
-            *until = until.max(now.0 as f64) + read_ms;
+        let mut prefill = BTreeMap::new();
+        add_prefill(&left, &mut prefill, path, kept);
+        for (server, prefill_ms) in prefill {
+            let until = busy_until.entry(server).or_default();
+            *until = until.max(now.0 as f64) + prefill_ms;
             longest_ms = longest_ms.max(*until - now.0 as f64);
         }
         left.record_prefill(&mut load, now, DEMAND, path, kept, 1.0);
-        waiting -= 1;
+        remaining -= 1;
     }
 
-    assert!(longest_ms < ALLOWED_MS, "{longest_ms} ms");
+    assert!(longest_ms < MAX_PAUSE_MS, "{longest_ms} ms");
     assert!(
-        waiting <= ENTRIES * STREAMS - 30,
-        "{waiting} are still there"
+        remaining <= ENTRIES * STREAMS - 30,
+        "{remaining} streams are left"
     );
 }
 
-/// Nothing leaves while the servers that would have to read its tokens are busy.
+/// A stream does not move while the replacements are busy with prefill.
 #[test]
 fn a_stream_stays_at_a_draining_server_while_others_are_busy() {
     let local_zone: Zone = "b".into();
