--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -1,7 +1,4 @@
-//! The choice of paths over the layers that backend servers hold.
-//!
-//! The pattern of load: streams of 760 prompt tokens and 200 answer tokens (the users' means), on
-//! accelerators whose time for a token differs sevenfold.
+//! Selection of paths over the layers that backend servers hold.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails must panic")]
 
@@ -87,7 +84,7 @@
 }
 
 #[test]
-fn a_calm_path_stays_in_one_zone() {
+fn an_unloaded_path_stays_in_one_zone() {
     let fleet = placed();
     let world = World::default();
     let local_zone: Zone = "b".into();
@@ -98,28 +95,26 @@
     assert!(!choice.lacks_capacity());
 }
 
-/// Requests spread over zones and rows long before any server is full: with each request booked as
-/// it is sent, 250 at a time find room, where the fastest zone alone has room for about 100.
+/// Guards against filling the fastest zone, which has capacity for about 100 streams, while others
+/// are idle.
 #[test]
-fn two_hundred_and_fifty_streams_find_room() {
+fn two_hundred_and_fifty_streams_fit() {
     let fleet = placed();
     let mut world = World::default();
-    let homes: [Zone; 3] = ["a".into(), "b".into(), "c".into()];
+    let zones: [Zone; 3] = ["a".into(), "b".into(), "c".into()];
 
     for number in 0..250 {
-        let local_zone = &homes[number % homes.len()];
+        let local_zone = &zones[number % zones.len()];
         let choice = fleet.choose(DEMAND, &world.context(local_zone)).unwrap();
-        assert!(!choice.lacks_capacity(), "stream {number} finds no room");
+        assert!(!choice.lacks_capacity(), "stream {number} does not fit");
         world.load.start_path(&choice.path, DEMAND.tokens());
     }
 }
 
-/// Requests stay where they are when one entry accuses a server, or all of them, and leave it when two do.
-///
-/// The accuser's link is down, so it finds all servers dead. A death that is one is found by the next who has requests
-/// there, which makes two.
+/// Guards against a single entry with a broken link, which suspects all servers, moving the
+/// requests of the others.
 #[test]
-fn one_accuser_moves_no_request_and_two_do() {
+fn a_suspicion_needs_two_entries_to_move_requests() {
     let fleet = placed();
     let local_zone: Zone = "b".into();
     let mut world = World::default();
@@ -156,9 +151,9 @@
     );
 }
 
-/// Entries that know of one another's load do not fill the same fast servers.
+/// Guards against all entries filling the same fast servers.
 #[test]
-fn a_zone_that_others_filled_is_left_alone() {
+fn a_zone_filled_by_others_is_avoided() {
     let fleet = placed();
     let mut world = World::default();
     let local_zone: Zone = "c".into();
@@ -166,16 +161,16 @@
         .candidates
         .iter()
         .filter(|candidate| candidate.zone == local_zone);
-    let rows: Vec<(Incarnation, Usage)> = full
+    let usage: Vec<(Incarnation, Usage)> = full
         .map(|candidate| {
-            let used = Usage {
+            let usage = Usage {
                 tokens: candidate.kv_capacity,
                 requests: 90,
             };
-            (candidate.server.clone(), used)
+            (candidate.server.clone(), usage)
         })
         .collect();
-    world.load.set_others(1, rows.into_iter().collect());
+    world.load.set_others(1, usage.into_iter().collect());
 
     let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
 
@@ -184,7 +179,7 @@
 }
 
 #[test]
-fn a_suspected_server_is_gone_around() {
+fn a_suspected_server_is_avoided() {
     let fleet = placed();
     let local_zone: Zone = "b".into();
     let first = fleet
@@ -201,7 +196,7 @@
 }
 
 #[test]
-fn a_server_that_refused_is_left_out_for_a_moment() {
+fn a_server_that_refused_is_avoided_for_a_while() {
     let fleet = placed();
     let local_zone: Zone = "b".into();
     let mut world = World::default();
@@ -216,7 +211,7 @@
 }
 
 #[test]
-fn a_slow_server_is_gone_around() {
+fn a_slow_server_is_avoided() {
     let fleet = placed();
     let local_zone: Zone = "b".into();
     let mut world = World::default();
@@ -229,10 +224,7 @@
     assert!(!choice.path.contains(&server));
 }
 
-/// The caller sees a short pause and the same stream go on.
-///
-/// A part in the middle of a stream's path dies. The first part holds the stream, so it must stay
-/// exactly as it is; the dead part's layers go to others of the zone.
+/// Guards against a repair that changes the first part, whose engine holds the stream.
 #[test]
 fn a_repair_keeps_the_first_part() {
     let fleet = placed();
@@ -254,7 +246,7 @@
 }
 
 #[test]
-fn nothing_to_repair_keeps_the_path() {
+fn a_repair_of_an_intact_path_keeps_it() {
     let fleet = placed();
     let local_zone: Zone = "b".into();
     let world = World::default();
@@ -273,9 +265,9 @@
     }
 }
 
-/// A token made on a path with a gap looks like any other: only the check keeps it from a caller.
+/// Guards against tokens from an invalid path, which cannot be told from correct ones.
 #[test]
-fn faulty_paths_cannot_be_made() {
+fn invalid_paths_are_rejected() {
     let gap = vec![part("a", 1, 0, 30), part("b", 2, 31, 80)];
     let overlap = vec![part("a", 1, 0, 30), part("b", 2, 29, 80)];
     let short = vec![part("a", 1, 0, 79)];
@@ -292,14 +284,19 @@
 }
 
 #[test]
-fn a_path_is_written_as_engines_read_it() {
+fn a_path_is_formatted_for_engines() {
     let path = Path::new(80, vec![part("a", 1, 0, 30), part("b", 2, 30, 80)]).unwrap();
 
     assert_eq!(path.to_string(), "10.0.0.1:1=0-30,10.0.0.1:2=30-80");
 }
 
-/// Finds the cheapest path by trying all, as the naive version.
-fn naive(fleet: &Fleet, reached: u32, used: &mut Vec<usize>, costs: &BTreeMap<usize, f64>) -> f64 {
+/// Returns the cost of the cheapest path by exhaustive search.
+fn exhaustive(
+    fleet: &Fleet,
+    reached: u32,
+    used: &mut Vec<usize>,
+    costs: &BTreeMap<usize, f64>,
+) -> f64 {
     let layers = fleet.model.layers;
     if reached == layers {
         return 0.0;
@@ -318,7 +315,7 @@
                 0.2 * DEMAND.tokens()
             };
             let here = costs[&index] * f64::from(end - reached) + hop;
-            best = best.min(here + naive(fleet, end, used, costs));
+            best = best.min(here + exhaustive(fleet, end, used, costs));
             used.pop();
         }
     }
@@ -327,19 +324,20 @@
 
 fn small_fleet() -> impl Strategy<Value = Vec<Holder>> {
     let one = (0..3_usize, 0..6_u32, 1..5_u32);
-    proptest::collection::vec(one, 1..6).prop_map(|rows| {
-        let rows = rows.into_iter().enumerate();
-        rows.map(|(index, (name, start, count))| {
-            let server = format!("s{index}").as_str().into();
-            let held = Range::new(start, (start + count).min(6));
-            Holder::new(
-                server,
-                "a".into(),
-                profile(["a100", "l40s", "l4"][name]),
-                held,
-            )
-        })
-        .collect()
+    proptest::collection::vec(one, 1..6).prop_map(|servers| {
+        let servers = servers.into_iter().enumerate();
+        servers
+            .map(|(index, (name, start, count))| {
+                let server = format!("s{index}").as_str().into();
+                let held = Range::new(start, (start + count).min(6));
+                Holder::new(
+                    server,
+                    "a".into(),
+                    profile(["a100", "l40s", "l4"][name]),
+                    held,
+                )
+            })
+            .collect()
     })
 }
 
@@ -351,10 +349,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// The search finds a path whenever there is one, complete, and not dearer than the cheapest
-    /// by more than one hop.
+    /// The search finds a path whenever there is one, and it costs at most one hop more than the
+    /// cheapest.
     #[test]
-    fn the_search_agrees_with_trying_all_paths(holders in small_fleet()) {
+    fn the_search_agrees_with_exhaustive_search(holders in small_fleet()) {
         let mut model = model();
         model.layers = 6;
         let fleet = fleet(&model, &holders);
@@ -362,12 +360,12 @@
         let local_zone: Zone = "a".into();
         let layers = 6.0;
         let costs: BTreeMap<usize, f64> = fleet.candidates.iter().enumerate().map(|(index, candidate)| {
-            let read = DEMAND.prompt_tokens / model.prefill_tokens_per_second * 1e3 * candidate.profile.prefill_factor;
-            let write = DEMAND.answer_tokens * model.step_ms * candidate.profile.step_factor;
-            (index, (read + write) / layers)
+            let prefill = DEMAND.prompt_tokens / model.prefill_tokens_per_second * 1e3 * candidate.profile.prefill_factor;
+            let decode = DEMAND.answer_tokens * model.step_ms * candidate.profile.step_factor;
+            (index, (prefill + decode) / layers)
         }).collect();
 
-        let cheapest = naive(&fleet, 0, &mut Vec::new(), &costs);
+        let cheapest = exhaustive(&fleet, 0, &mut Vec::new(), &costs);
         let choice = fleet.choose(DEMAND, &world.context(&local_zone));
 
         match choice {
@@ -397,17 +395,17 @@
     assert_eq!(choice.path.parts().len(), 1);
 }
 
-/// What other entries have in flight is the sum of the last word of each, and fades with silence.
+/// The load of other entries is the sum of their latest reports, which expire.
 #[test]
-fn the_load_of_others_is_what_each_said_last() {
-    let word = |tokens: f64, requests: u64| Summary {
+fn the_load_of_others_is_the_sum_of_latest_reports() {
+    let report = |tokens: f64, requests: u64| Summary {
         entries: 1,
         usage: [("s".into(), Usage { tokens, requests })].into(),
         ..Summary::default()
     };
     let (mut load, mut board) = (Load::default(), Board::default());
-    let mut hear = |board: &mut Board, now, teller, word| {
-        board.hear(Instant(now), teller, Scope::Own, Portion::default(), word);
+    let mut receive = |board: &mut Board, now, sender, report| {
+        board.hear(Instant(now), sender, Scope::Own, Portion::default(), report);
         let others = board.others(Instant(now));
         load.set_others(others.entries, others.usage);
         (
@@ -416,9 +414,9 @@
             load.peers(),
         )
     };
-    hear(&mut board, 0, "x", word(100.0, 2));
-    hear(&mut board, 100, "y", word(50.0, 1));
-    assert_eq!(hear(&mut board, 200, "x", word(30.0, 1)), (80.0, 2, 2));
+    receive(&mut board, 0, "x", report(100.0, 2));
+    receive(&mut board, 100, "y", report(50.0, 1));
+    assert_eq!(receive(&mut board, 200, "x", report(30.0, 1)), (80.0, 2, 2));
 
     board.expire(Instant(1_350));
     assert_eq!(board.others(Instant(1_350)).usage[&"s".into()].tokens, 30.0);
