--- a/crates/core/tests/spread_matrix.rs
+++ b/crates/core/tests/spread_matrix.rs
@@ -1,4 +1,4 @@
-//! The fault matrix of configurations on their way between processes.
+//! Fault matrix for the distribution of configurations between processes.
 
 #![allow(
     clippy::unwrap_used,
@@ -54,30 +54,30 @@
     }
 }
 
-/// Something on its way to a peer.
+/// A message in transit to a peer.
 #[derive(Clone)]
 enum Message {
-    /// The key-value service has a new head; only the first two peers watch it.
+    /// The key-value service announces a new head to its watchers, the first two peers.
     Published(Config),
-    /// A peer tells its generation to another.
-    Beat(usize, Generation),
+    /// A peer sends its generation to another.
+    Heartbeat(usize, Generation),
     Delta(Delta),
-    Whole(Config),
+    Full(Config),
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Lose,
-    Double,
-    Late,
-    /// The peer stands still for a while, and then goes on with what was sent to it.
+    Duplicate,
+    Delay,
+    /// The peer pauses, and later handles the messages sent meanwhile.
     Pause(usize),
-    /// The peer comes back without memory.
+    /// The peer restarts without state.
     Restart(usize),
-    /// The key-value service is away: nobody hears of the next publication from it but the first.
+    /// The key-value service is unreachable for all peers but the first.
     Outage,
-    /// The next difference is damaged on its way.
-    Damage,
+    /// The next delta is corrupted in transit.
+    Corrupt,
 }
 
 #[derive(Default)]
@@ -90,13 +90,13 @@
     peers: Vec<Peer>,
     queue: VecDeque<(usize, Message)>,
     outage: bool,
-    damage: bool,
+    corrupt: bool,
     configs: Vec<Config>,
     trust: Trust,
     steps: usize,
-    /// How many steps there are before faults end.
-    struck_until: usize,
-    broken: Vec<String>,
+    /// Number of steps before faults end.
+    faulty_steps: usize,
+    violations: Vec<String>,
 }
 
 impl World {
@@ -105,12 +105,12 @@
             peers: (0..PEERS).map(|_| Peer::default()).collect(),
             queue: VecDeque::new(),
             outage: false,
-            damage: false,
+            corrupt: false,
             configs: configs.to_vec(),
             trust: trust(),
             steps: 0,
-            struck_until: 0,
-            broken: Vec::new(),
+            faulty_steps: 0,
+            violations: Vec::new(),
         }
     }
 
@@ -123,12 +123,13 @@
         }
     }
 
-    /// Every peer tells its neighbours its generation, as heartbeats and their answers do.
-    fn beat_all(&mut self) {
+    /// Sends every peer's generation to its neighbours, like heartbeats and their replies.
+    fn send_heartbeats(&mut self) {
         for from in 0..PEERS {
             let generation = self.peers[from].history.generation();
             for to in [(from + 1) % PEERS, (from + PEERS - 1) % PEERS] {
-                self.queue.push_back((to, Message::Beat(from, generation)));
+                self.queue
+                    .push_back((to, Message::Heartbeat(from, generation)));
             }
         }
     }
@@ -146,7 +147,7 @@
         self.handle(to, message);
         let after = self.peers[to].history.generation();
         if after < before {
-            self.broken
+            self.violations
                 .push(format!("peer {to}: {before}, then {after}"));
         }
         true
@@ -154,56 +155,57 @@
 
     fn handle(&mut self, to: usize, message: Message) {
         match message {
-            Message::Published(config) | Message::Whole(config) => self.take(to, config),
+            Message::Published(config) | Message::Full(config) => self.accept(to, config),
             Message::Delta(mut delta) => {
-                if std::mem::take(&mut self.damage) {
+                if std::mem::take(&mut self.corrupt) {
                     delta.pieces.pop();
                 }
                 let base = self.peers[to].history.last().cloned();
                 if let Some(config) = base.and_then(|base| delta.apply(&base)) {
-                    self.take(to, config);
+                    self.accept(to, config);
                 }
             }
-            Message::Beat(from, theirs) => self.answer(to, from, theirs),
+            Message::Heartbeat(from, theirs) => self.reply(to, from, theirs),
         }
     }
 
-    /// Sends what the other lacks: the difference, or the whole when that is too long ago.
-    fn answer(&mut self, own: usize, other: usize, theirs: Generation) {
+    /// Sends a peer that is behind the delta, or the full configuration if the history is too
+    /// short.
+    fn reply(&mut self, own: usize, other: usize, theirs: Generation) {
         let history = &self.peers[own].history;
         if theirs >= history.generation() {
             return;
         }
         let message = match history.since(theirs) {
-            // Every other time the whole goes along, as when a difference did not help.
+            // Every other reply is a full configuration, as after a delta that did not apply.
             Some(delta) if self.steps % 2 == 0 => Message::Delta(delta),
-            _ => Message::Whole(history.last().unwrap().as_ref().clone()),
+            _ => Message::Full(history.last().unwrap().as_ref().clone()),
         };
         self.queue.push_back((other, message));
     }
 
-    fn take(&mut self, to: usize, config: Config) {
+    fn accept(&mut self, to: usize, config: Config) {
         let history = &mut self.peers[to].history;
         if let Ok(bundle) = accept(history.generation(), &config, &self.trust) {
             if bundle.serial != config.head.generation.0 {
-                self.broken
+                self.violations
                     .push(format!("peer {to}: text of another generation"));
             }
             history.push(Arc::new(config));
         }
     }
 
-    fn strike(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Lose => {
                 self.queue.pop_front();
             }
-            Fault::Double => {
+            Fault::Duplicate => {
                 if let Some(message) = self.queue.front().cloned() {
                     self.queue.push_front(message);
                 }
             }
-            Fault::Late => {
+            Fault::Delay => {
                 if let Some(message) = self.queue.pop_front() {
                     self.queue.push_back(message);
                 }
@@ -213,12 +215,12 @@
             }
             Fault::Restart(peer) => self.peers[peer] = Peer::default(),
             Fault::Outage => self.outage = true,
-            Fault::Damage => self.damage = true,
+            Fault::Corrupt => self.corrupt = true,
         }
     }
 
-    /// Ends all pauses; what was sent meanwhile comes late.
-    fn thaw(&mut self) {
+    /// Ends all pauses and delivers the messages sent meanwhile.
+    fn resume_all(&mut self) {
         for (index, peer) in self.peers.iter_mut().enumerate() {
             for message in peer.paused.take().unwrap_or_default() {
                 self.queue.push_back((index, message));
@@ -227,44 +229,44 @@
     }
 }
 
-/// Publishes four generations with heartbeats in between, and strikes at given steps.
-fn run(configs: &[Config], strikes: &[(usize, Fault)]) -> World {
+/// Publishes four generations with heartbeats in between, and injects faults at the given steps.
+fn run(configs: &[Config], faults: &[(usize, Fault)]) -> World {
     const ROUNDS: usize = 6;
     let mut world = World::new(configs);
-    let mut strikes = strikes.to_vec();
+    let mut faults = faults.to_vec();
     for generation in 1..=LAST {
         world.publish(generation);
-        world.beat_all();
-        drain(&mut world, &mut strikes);
+        world.send_heartbeats();
+        drain(&mut world, &mut faults);
     }
-    // From here on no fault strikes: heartbeats go on, as they do in earnest.
-    strikes.clear();
-    world.struck_until = world.steps;
-    world.thaw();
-    // The service is back: whoever watches it reads the head. Had the one process that heard of a
-    // generation died in an outage, nobody else could know of it until now.
+    // Faults end here, and only heartbeats follow.
+    faults.clear();
+    world.faulty_steps = world.steps;
+    world.resume_all();
+    // After the outage the watchers read the head again. Otherwise a generation would be lost whose
+    // only recipient died during the outage.
     world.outage = false;
     world.publish(LAST);
     for _ in 0..ROUNDS {
-        world.beat_all();
-        drain(&mut world, &mut strikes);
+        world.send_heartbeats();
+        drain(&mut world, &mut faults);
     }
     for (index, peer) in world.peers.iter().enumerate() {
         let generation = peer.history.generation();
         if generation != Generation(LAST) {
             world
-                .broken
-                .push(format!("peer {index}: left behind at {generation}"));
+                .violations
+                .push(format!("peer {index}: stuck at {generation}"));
         }
     }
     world
 }
 
-fn drain(world: &mut World, strikes: &mut Vec<(usize, Fault)>) {
+fn drain(world: &mut World, faults: &mut Vec<(usize, Fault)>) {
     loop {
-        while strikes.first().is_some_and(|(at, _)| *at <= world.steps) {
-            let (_, fault) = strikes.remove(0);
-            world.strike(fault);
+        while faults.first().is_some_and(|(at, _)| *at <= world.steps) {
+            let (_, fault) = faults.remove(0);
+            world.inject(fault);
         }
         if !world.step() {
             return;
@@ -275,33 +277,29 @@
 fn faults() -> Vec<Fault> {
     let mut faults = vec![
         Fault::Lose,
-        Fault::Double,
-        Fault::Late,
+        Fault::Duplicate,
+        Fault::Delay,
         Fault::Outage,
-        Fault::Damage,
+        Fault::Corrupt,
     ];
     faults.extend((0..PEERS).map(Fault::Pause));
     faults.extend((0..PEERS).map(Fault::Restart));
     faults
 }
 
-/// Every process ends at the last generation, and none goes back while it lives.
-///
-/// Two of four peers hear of each publication, the others from their neighbours. A peer that stood
-/// still wakes with old messages in its hands and an old configuration to offer; one that restarted
-/// starts from nothing; a damaged difference does not fit its signatures.
+/// Guards against a peer that ends at an old generation, or that returns to one while it runs.
 #[test]
 fn every_fault_at_every_step() {
     let configs: Vec<Config> = (1..=LAST).map(config).collect();
-    let length = run(&configs, &[]).struck_until;
+    let length = run(&configs, &[]).faulty_steps;
     let mut runs = 0;
     for fault in faults() {
         for step in 0..length {
             let world = run(&configs, &[(step, fault)]);
             assert!(
-                world.broken.is_empty(),
+                world.violations.is_empty(),
                 "{fault:?} at {step}: {:?}",
-                world.broken
+                world.violations
             );
             runs += 1;
         }
@@ -312,13 +310,17 @@
 #[test]
 fn pairs_of_faults() {
     let configs: Vec<Config> = (1..=LAST).map(config).collect();
-    let length = run(&configs, &[]).struck_until;
+    let length = run(&configs, &[]).faulty_steps;
     for first in faults() {
         for second in faults() {
             for step in (0..length).step_by(7) {
-                let strikes = [(step, first), (step + 3, second)];
-                let world = run(&configs, &strikes);
-                assert!(world.broken.is_empty(), "{strikes:?}: {:?}", world.broken);
+                let faults = [(step, first), (step + 3, second)];
+                let world = run(&configs, &faults);
+                assert!(
+                    world.violations.is_empty(),
+                    "{faults:?}: {:?}",
+                    world.violations
+                );
             }
         }
     }
