--- a/crates/core/src/pipeline/allowance.rs
+++ b/crates/core/src/pipeline/budget.rs
@@ -7,7 +7,7 @@
 
 /// How many arrivals beyond the first of each request a service takes, over all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Policy {
     /// Extra arrivals per request.
     pub ratio: f64,
     /// Extra arrivals on top of that in one window, over all entries.
@@ -32,7 +32,7 @@
 /// How much earlier than it was booked a request may have been sent: the same lost packet.
 const SENT: Span = Span(1_000);
 
-impl Terms {
+impl Policy {
     /// Returns how long extra arrivals matter: any window in which one arrives ends within this time.
     #[must_use]
     pub fn reach(&self) -> Span {
@@ -47,7 +47,7 @@
 
 /// What decides on one more extra arrival: the span of time that has the least left.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Grounds {
+pub struct Balance {
     /// Extra arrivals in that span.
     pub spent: u64,
     /// Extra arrivals that requests pay for.
@@ -56,7 +56,7 @@
     pub share: f64,
 }
 
-impl Grounds {
+impl Balance {
     /// Tells whether one more extra arrival is within what is paid for and the share.
     #[must_use]
     pub fn allow(&self) -> bool {
@@ -78,27 +78,27 @@
 /// # Examples
 ///
 /// ```
-/// # use jujube_core::pipeline::allowance::Allowance;
-/// # use jujube_core::pipeline::allowance::Terms;
+/// # use jujube_core::pipeline::budget::Budget;
+/// # use jujube_core::pipeline::budget::Policy;
 /// # use jujube_core::time::Instant;
 /// # use jujube_core::time::Span;
-/// let terms = Terms { ratio: 0.2, slack: 4.0, window: Span(10_000) };
-/// let share = terms.slack / 4.0;
-/// let mut allowance = Allowance::default();
-/// assert!(allowance.take(Instant(0), &terms, share));
-/// assert!(!allowance.take(Instant(0), &terms, share), "the share is used up");
-/// assert!(allowance.take(Instant(12_001), &terms, share));
+/// let policy = Policy { ratio: 0.2, slack: 4.0, window: Span(10_000) };
+/// let share = policy.slack / 4.0;
+/// let mut budget = Budget::default();
+/// assert!(budget.take(Instant(0), &policy, share));
+/// assert!(!budget.take(Instant(0), &policy, share), "the share is used up");
+/// assert!(budget.take(Instant(12_001), &policy, share));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Allowance {
+pub struct Budget {
     requests: VecDeque<Instant>,
     extra: VecDeque<Instant>,
 }
 
-impl Allowance {
+impl Budget {
     /// Books a request.
-    pub fn request(&mut self, now: Instant, terms: &Terms) {
-        let kept = Span(terms.reach().0 + terms.ahead().0);
+    pub fn request(&mut self, now: Instant, policy: &Policy) {
+        let kept = Span(policy.reach().0 + policy.ahead().0);
         forget(&mut self.requests, now, kept);
         self.requests.push_back(now);
     }
@@ -106,21 +106,21 @@
     /// Returns what decides on one more extra arrival for an entry with this share of the slack.
     ///
     /// Every span of time up to now is looked at, not only the longest: a service may count from any moment.
-    pub fn grounds(&mut self, now: Instant, terms: &Terms, share: f64) -> Grounds {
-        forget(&mut self.extra, now, terms.reach());
-        let grounds = |begins: Instant, spent: usize| {
-            let from = Instant(begins.0.saturating_sub(terms.ahead().0));
+    pub fn balance(&mut self, now: Instant, policy: &Policy, share: f64) -> Balance {
+        forget(&mut self.extra, now, policy.reach());
+        let balance = |begins: Instant, spent: usize| {
+            let from = Instant(begins.0.saturating_sub(policy.ahead().0));
             let before = self.requests.partition_point(|time| *time < from);
             let requests = (self.requests.len() - before) as f64;
-            Grounds {
+            Balance {
                 spent: spent as u64,
-                paid: requests * terms.ratio * PAID * COUNTED,
+                paid: requests * policy.ratio * PAID * COUNTED,
                 share,
             }
         };
         let newest_first = self.extra.iter().rev().enumerate();
-        let spans = newest_first.map(|(newer, begins)| grounds(*begins, newer + 1));
-        spans.fold(grounds(now, 0), |least, span| {
+        let spans = newest_first.map(|(newer, begins)| balance(*begins, newer + 1));
+        spans.fold(balance(now, 0), |least, span| {
             if span.left() < least.left() {
                 span
             } else {
@@ -130,15 +130,15 @@
     }
 
     /// Takes one extra arrival; `false` when nothing is left.
-    pub fn take(&mut self, now: Instant, terms: &Terms, share: f64) -> bool {
-        let is_allowed = self.grounds(now, terms, share).allow();
+    pub fn take(&mut self, now: Instant, policy: &Policy, share: f64) -> bool {
+        let is_allowed = self.balance(now, policy, share).allow();
         if is_allowed {
             self.book(now);
         }
         is_allowed
     }
 
-    /// Books an extra arrival that its grounds allow.
+    /// Books an extra arrival that its balance allow.
     pub fn book(&mut self, now: Instant) {
         self.extra.push_back(now);
     }
--- a/crates/core/src/pipeline/mod.rs
+++ b/crates/core/src/pipeline/mod.rs
@@ -5,12 +5,12 @@
 //! which path a request takes ([`chooser`]), who may be trusted with work ([`roster`],
 //! [`suspicion`]), and what a caller sees when a part of the path dies ([`relay`]).
 
-pub mod allowance;
 pub mod assignment;
 pub mod attempts;
 pub mod backlog;
 pub mod belief;
 pub mod board;
+pub mod budget;
 pub mod cell;
 pub mod chooser;
 pub mod deputy;
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -14,7 +14,7 @@
 use entries::play;
 use entries::play_for_one;
 use entries::service;
-use jujube_core::pipeline::allowance::Allowance;
+use jujube_core::pipeline::budget::Budget;
 use jujube_core::pipeline::reserve;
 use jujube_core::pipeline::reserve::PIECES;
 use jujube_core::pipeline::reserve::Piece;
@@ -174,7 +174,7 @@
 /// A retry that was taken and not sent is there for another request.
 #[test]
 fn a_retry_that_is_given_back_can_be_taken_again() {
-    let mut allowance = Allowance::default();
+    let mut allowance = Budget::default();
     assert!(allowance.take(Instant(5), &TERMS, 1.0));
     assert!(!allowance.take(Instant(6), &TERMS, 1.0));
 
@@ -186,7 +186,7 @@
 /// What requests pay for is the same in a calm minute and after a start: about the ratio of both.
 #[test]
 fn requests_pay_for_retries_without_any_slack() {
-    let mut allowance = Allowance::default();
+    let mut allowance = Budget::default();
     let mut taken = 0;
     for now in (0..60_000).step_by(10) {
         allowance.request(Instant(now), &TERMS);
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Routes, keys and the share of retries of a configuration that is one document.
 
-use jujube_core::pipeline::allowance::Allowance;
-use jujube_core::pipeline::allowance::Terms;
+use jujube_core::pipeline::budget::Budget;
+use jujube_core::pipeline::budget::Policy;
 use jujube_core::pipeline::document::Account;
 use jujube_core::pipeline::document::Document;
 use jujube_core::pipeline::document::Kind;
@@ -117,10 +117,10 @@
         entries in 1_u64..60,
         gaps in proptest::collection::vec(0_u64..120, 50..300),
     ) {
-        let terms = Terms { ratio: 0.2, slack: 100.0, window: Span(10_000) };
+        let terms = Policy { ratio: 0.2, slack: 100.0, window: Span(10_000) };
         let share = terms.slack / entries as f64;
         let all = entries as f64;
-        let mut allowance = Allowance::default();
+        let mut allowance = Budget::default();
         let mut requests = Vec::new();
         let mut extra = Vec::new();
         let mut now = 0;
--- a/crates/core/tests/support/entries.rs
+++ b/crates/core/tests/support/entries.rs
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 
 use jujube_core::name::Service;
-use jujube_core::pipeline::allowance::Allowance;
-use jujube_core::pipeline::allowance::Terms;
+use jujube_core::pipeline::budget::Budget;
+use jujube_core::pipeline::budget::Policy;
 use jujube_core::pipeline::era::Era;
 use jujube_core::pipeline::era::Eras;
 use jujube_core::pipeline::era::Settling;
@@ -27,7 +27,7 @@
 use rand::rngs::StdRng;
 
 pub const LEASE: Span = Span(27_000);
-pub const TERMS: Terms = Terms {
+pub const TERMS: Policy = Policy {
     ratio: 0.2,
     slack: 60.0,
     window: Span(10_000),
@@ -246,7 +246,7 @@
 /// One process of an entry.
 struct Process {
     reserve: Reserve,
-    allowance: Allowance,
+    allowance: Budget,
     /// Up to where it follows the store; `None` until it has read it.
     follows: Option<Revision>,
     /// The era of the store, as far as it knows.
@@ -287,7 +287,7 @@
 fn start() -> Process {
     Process {
         reserve: Reserve::new(LEASE, TERMS.reach()),
-        allowance: Allowance::default(),
+        allowance: Budget::default(),
         follows: None,
         eras: Eras::default(),
         settling: Settling::default(),
@@ -496,7 +496,7 @@
         let kept = reserve::worth(TERMS.slack) * rest as f64;
         if process
             .allowance
-            .grounds(Instant(now), &TERMS, kept)
+            .balance(Instant(now), &TERMS, kept)
             .allow()
         {
             let pieces = process.reserve.give_back(&service(), rest, 8);
--- a/crates/front/src/retries.rs
+++ b/crates/front/src/retries.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use jujube_core::name::Service;
-use jujube_core::pipeline::allowance::Allowance;
-use jujube_core::pipeline::allowance::Grounds;
-use jujube_core::pipeline::allowance::Terms;
+use jujube_core::pipeline::budget::Balance;
+use jujube_core::pipeline::budget::Budget;
+use jujube_core::pipeline::budget::Policy;
 use jujube_core::pipeline::reserve::Reserve;
 use jujube_core::revision::Revision;
 use jujube_core::time::Instant;
@@ -30,12 +30,12 @@
 /// one every few hundred milliseconds.
 const LOOK: Duration = Duration::from_millis(50);
 
-type Allowances = Rc<RefCell<BTreeMap<Service, Allowance>>>;
+type Allowances = Rc<RefCell<BTreeMap<Service, Budget>>>;
 
 /// The retries of an entry.
 pub struct Retries {
     /// What all entries together may send.
-    terms: Cell<Terms>,
+    terms: Cell<Policy>,
     allowances: Allowances,
     /// How long this entry's lease lasts without renewal: until what it sent last matters no more.
     pub lease: Span,
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Decision {
     /// What was spent, paid for and left.
-    pub grounds: Grounds,
+    pub grounds: Balance,
     /// How many pieces of the slack this entry holds.
     pub pieces: u64,
     /// Whether it may use them.
@@ -65,7 +65,7 @@
 
 impl Retries {
     /// Returns the retries of an entry that has sent none.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: Policy) -> Self {
         let lease = Span(TRUSTED.0 + terms.reach().0);
         Self {
             lease,
@@ -81,12 +81,12 @@
     }
 
     /// Returns what all entries together may send.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> Policy {
         self.terms.get()
     }
 
     /// Takes new terms.
-    pub fn set_terms(&self, terms: Terms) {
+    pub fn set_terms(&self, terms: Policy) {
         self.terms.set(terms);
         self.reserve.borrow_mut().set_reach(terms.reach());
     }
@@ -127,7 +127,7 @@
         let share = reserve.share(now, service, terms.slack);
         let mut allowances = self.allowances.borrow_mut();
         let allowance = allowances.entry(service.clone()).or_default();
-        let grounds = allowance.grounds(now, &terms, share);
+        let grounds = allowance.balance(now, &terms, share);
         let retry = grounds.allow().then(|| {
             allowance.book(now);
             Retry {
@@ -165,7 +165,7 @@
             return true;
         };
         let terms = self.terms.get();
-        let grounds = allowance.grounds(clock::now(), &terms, kept);
+        let grounds = allowance.balance(clock::now(), &terms, kept);
         grounds.paid + grounds.share >= grounds.spent as f64
     }
 
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -7,7 +7,7 @@
 
 use anyhow::Result;
 use jujube_core::name::Zone;
-use jujube_core::pipeline::allowance::Terms;
+use jujube_core::pipeline::budget::Policy;
 use jujube_core::time::Span;
 use jujube_program::settings;
 use jujube_program::settings::File;
@@ -35,7 +35,7 @@
     /// How soon what is written to the store must be in force.
     pub fresh: Freshness,
     /// What the retry budget allows over all entries.
-    pub retry: Terms,
+    pub retry: Policy,
     /// Logs.
     pub telemetry: Telemetry,
     /// The file that the settings came from.
@@ -90,7 +90,7 @@
             };
             (section.address("address"), fresh)
         });
-        let retry = file.section("retry", |section| Terms {
+        let retry = file.section("retry", |section| Policy {
             ratio: section.value("ratio", "retries per request, such as 0.2", Some(0.2)),
             slack: section.value("slack", "retries beyond the ratio", Some(100.0)),
             window: Span(section.number("window_seconds", Some(10)) * 1000),
