--- a/crates/core/src/pipeline/reserve.rs
+++ b/crates/core/src/pipeline/reserve.rs
@@ -11,24 +11,24 @@
 
 /// How many pieces the slack of each service is cut into: as many entries can hold a part at a time. More would make
 /// each worth less than a retry or two where the slack is small, and each take is told to all entries.
-pub const PIECES: u16 = 32;
+pub const PIECES_PER_SERVICE: u16 = 32;
 /// How many pieces of a service nobody may hold before those that are not needed are given back.
-pub const FEW: usize = 8;
+pub const MIN_FREE_PIECES: usize = 8;
 /// The part of the pieces that entries hold while they need none, shared by all: the store that gives out the others
 /// may be away when servers die. With more entries than that makes pieces they hold none.
-const AT_REST: u64 = 2;
+const IDLE_PIECES_DIVISOR: u64 = 2;
 
 numbers! {
     /// A piece of a service's slack, by its number from 0.
     Piece;
     /// The lease under which an entry holds its pieces.
-    Tenure;
+    LeaseId;
 }
 
 /// The lease of this entry.
 #[derive(Clone, Copy, Debug)]
 struct Own {
-    tenure: Tenure,
+    tenure: LeaseId,
     /// When it was last renewed: the moment before the call.
     renewed: Instant,
 }
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Record {
     /// Under whose lease it was taken.
-    pub tenure: Tenure,
+    pub tenure: LeaseId,
     /// When it was written.
     pub revision: Revision,
 }
@@ -63,15 +63,15 @@
 ///
 /// ```
 /// # use jujube_core::pipeline::reserve::Piece;
-/// # use jujube_core::pipeline::reserve::PIECES;
+/// # use jujube_core::pipeline::reserve::PIECES_PER_SERVICE;
 /// # use jujube_core::pipeline::reserve::Reserve;
-/// # use jujube_core::pipeline::reserve::Tenure;
+/// # use jujube_core::pipeline::reserve::LeaseId;
 /// # use jujube_core::time::Instant;
 /// # use jujube_core::time::Span;
 /// let mut reserve = Reserve::new(Span(27_000), Span(12_000));
-/// reserve.begun(Tenure(7), Instant(0));
-/// assert_eq!(reserve.free(&"s".into()).len(), usize::from(PIECES));
-/// reserve.took(Tenure(7), &"s".into(), [Piece(3)]);
+/// reserve.begun(LeaseId(7), Instant(0));
+/// assert_eq!(reserve.free(&"s".into()).len(), usize::from(PIECES_PER_SERVICE));
+/// reserve.took(LeaseId(7), &"s".into(), [Piece(3)]);
 /// assert_eq!(reserve.share(Instant(14_999), &"s".into(), 64.0), 2.0);
 /// assert_eq!(reserve.share(Instant(15_000), &"s".into(), 64.0), 0.0, "the lease was not renewed");
 /// ```
@@ -133,7 +133,7 @@
     }
 
     /// Takes a new lease, granted by a call that was made at a time; pieces of an earlier one are given up.
-    pub fn begun(&mut self, tenure: Tenure, asked: Instant) {
+    pub fn begun(&mut self, tenure: LeaseId, asked: Instant) {
         self.lost();
         self.own = Some(Own {
             tenure,
@@ -165,7 +165,7 @@
 
     /// Returns the lease of this entry, if it has one.
     #[must_use]
-    pub fn tenure(&self) -> Option<Tenure> {
+    pub fn tenure(&self) -> Option<LeaseId> {
         self.own.map(|own| own.tenure)
     }
 
@@ -179,7 +179,7 @@
     /// Takes that pieces were written to the store under a lease.
     pub fn took(
         &mut self,
-        tenure: Tenure,
+        tenure: LeaseId,
         service: &Service,
         pieces: impl IntoIterator<Item = Piece>,
     ) {
@@ -249,7 +249,7 @@
             let key = (service.clone(), *piece);
             !self.held.contains_key(&key) && !self.taken.contains_key(&key)
         };
-        let all = (0..u64::from(PIECES)).map(Piece);
+        let all = (0..u64::from(PIECES_PER_SERVICE)).map(Piece);
         all.filter(is_free).collect()
     }
 
@@ -266,7 +266,7 @@
         if !self.is_trusted(now) {
             return 0.0;
         }
-        worth(slack) * self.held(service) as f64
+        retries_per_piece(slack) * self.held(service) as f64
     }
 
     /// Takes pieces of a service beyond `keep` out of use, for them to be removed from the store where they are as
@@ -295,21 +295,21 @@
     }
 }
 
-/// Returns how many retries a piece of a slack is worth.
+/// Returns how many retries a piece of a slack is retries_per_piece.
 #[must_use]
-pub fn worth(slack: f64) -> f64 {
-    slack / f64::from(PIECES)
+pub fn retries_per_piece(slack: f64) -> f64 {
+    slack / f64::from(PIECES_PER_SERVICE)
 }
 
 /// Returns how many pieces of a service one of `entries` holds while it needs none.
 #[must_use]
-pub fn at_rest(entries: u64) -> u64 {
-    u64::from(PIECES) / AT_REST / entries.max(1)
+pub fn idle_pieces(entries: u64) -> u64 {
+    u64::from(PIECES_PER_SERVICE) / IDLE_PIECES_DIVISOR / entries.max(1)
 }
 
 /// Returns how many pieces of a service one of `entries` may hold: all but those that the others hold at rest.
 #[must_use]
-pub fn most(entries: u64) -> u64 {
+pub fn max_pieces(entries: u64) -> u64 {
     let others = entries.saturating_sub(1);
-    u64::from(PIECES) - others * at_rest(entries)
+    u64::from(PIECES_PER_SERVICE) - others * idle_pieces(entries)
 }
--- a/crates/core/tests/restore.rs
+++ b/crates/core/tests/restore.rs
@@ -5,10 +5,10 @@
 
 use std::collections::BTreeMap;
 
+use jujube_core::pipeline::reserve::LeaseId;
 use jujube_core::pipeline::reserve::Piece;
 use jujube_core::pipeline::reserve::Record;
 use jujube_core::pipeline::reserve::Reserve;
-use jujube_core::pipeline::reserve::Tenure;
 use jujube_core::pipeline::roster::COPIED;
 use jujube_core::pipeline::roster::Effect;
 use jujube_core::pipeline::roster::LAPSE_GRACE;
@@ -83,15 +83,15 @@
 fn pieces_of_an_earlier_era_are_given_up_and_new_ones_wait_until_they_matter_no_more() {
     let service = "writer".into();
     let mut reserve = Reserve::new(Span(27_000), Span(10_000));
-    reserve.begun(Tenure(7), Instant(0));
-    reserve.took(Tenure(7), &service, [Piece(3)]);
+    reserve.begun(LeaseId(7), Instant(0));
+    reserve.took(LeaseId(7), &service, [Piece(3)]);
     reserve.followed(Revision(900));
 
     reserve.restored();
 
     assert_eq!(reserve.share(Instant(1_000), &service, 64.0), 0.0);
-    reserve.begun(Tenure(8), Instant(1_000));
-    reserve.took(Tenure(8), &service, [Piece(4)]);
+    reserve.begun(LeaseId(8), Instant(1_000));
+    reserve.took(LeaseId(8), &service, [Piece(4)]);
     assert_eq!(
         reserve.share(Instant(1_000), &service, 64.0),
         0.0,
@@ -108,7 +108,7 @@
     let mut reserve = Reserve::new(Span(27_000), Span(10_000));
     reserve.followed(Revision(900));
     let record = Record {
-        tenure: Tenure(5),
+        tenure: LeaseId(5),
         revision: Revision(40),
     };
     let listed = BTreeMap::from([((service, Piece(3)), record)]);
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -16,11 +16,11 @@
 use entries::service;
 use jujube_core::pipeline::budget::Budget;
 use jujube_core::pipeline::reserve;
-use jujube_core::pipeline::reserve::PIECES;
+use jujube_core::pipeline::reserve::LeaseId;
+use jujube_core::pipeline::reserve::PIECES_PER_SERVICE;
 use jujube_core::pipeline::reserve::Piece;
 use jujube_core::pipeline::reserve::Record;
 use jujube_core::pipeline::reserve::Reserve;
-use jujube_core::pipeline::reserve::Tenure;
 use jujube_core::revision::Revision;
 use jujube_core::time::Instant;
 use proptest::prelude::*;
@@ -90,13 +90,13 @@
 
 fn holder(tenure: u64) -> Reserve {
     let mut reserve = Reserve::new(LEASE, TERMS.reach());
-    reserve.begun(Tenure(tenure), Instant(0));
+    reserve.begun(LeaseId(tenure), Instant(0));
     reserve
 }
 
 fn record(tenure: u64, revision: u64) -> Record {
     Record {
-        tenure: Tenure(tenure),
+        tenure: LeaseId(tenure),
         revision: Revision(revision),
     }
 }
@@ -105,7 +105,7 @@
 #[test]
 fn pieces_are_worth_nothing_once_the_lease_is_not_renewed() {
     let mut reserve = holder(1);
-    reserve.took(Tenure(1), &service(), [Piece(0)]);
+    reserve.took(LeaseId(1), &service(), [Piece(0)]);
     let trusted = LEASE.0 - TERMS.reach().0;
 
     assert!(reserve.share(Instant(trusted - 1), &service(), 64.0) > 0.0);
@@ -119,10 +119,10 @@
 #[test]
 fn pieces_of_an_earlier_lease_do_not_count() {
     let mut reserve = holder(1);
-    reserve.took(Tenure(1), &service(), [Piece(0)]);
+    reserve.took(LeaseId(1), &service(), [Piece(0)]);
 
-    reserve.begun(Tenure(2), Instant(100));
-    reserve.took(Tenure(1), &service(), [Piece(1)]);
+    reserve.begun(LeaseId(2), Instant(100));
+    reserve.took(LeaseId(1), &service(), [Piece(1)]);
 
     assert_eq!(reserve.held(&service()), 0);
 }
@@ -134,7 +134,10 @@
     reserve.written(&service(), Piece(4), record(1, 10));
     reserve.written(&service(), Piece(5), record(9, 11));
     assert_eq!(reserve.held(&service()), 1);
-    assert_eq!(reserve.free(&service()).len(), usize::from(PIECES) - 2);
+    assert_eq!(
+        reserve.free(&service()).len(),
+        usize::from(PIECES_PER_SERVICE) - 2
+    );
 
     let back = reserve.give_back(&service(), 0, 8);
     reserve.written(&service(), Piece(4), record(1, 10));
@@ -165,9 +168,9 @@
 #[test]
 fn what_is_held_at_rest_is_at_most_half() {
     for entries in 1..1_000 {
-        let held = entries * reserve::at_rest(entries);
-        assert!(held <= u64::from(PIECES) / 2, "{entries}");
-        assert!(reserve::most(entries) >= reserve::at_rest(entries));
+        let held = entries * reserve::idle_pieces(entries);
+        assert!(held <= u64::from(PIECES_PER_SERVICE) / 2, "{entries}");
+        assert!(reserve::max_pieces(entries) >= reserve::idle_pieces(entries));
     }
 }
 
--- a/crates/core/tests/support/entries.rs
+++ b/crates/core/tests/support/entries.rs
@@ -15,10 +15,10 @@
 use jujube_core::pipeline::era::Settling;
 use jujube_core::pipeline::era::Word;
 use jujube_core::pipeline::reserve;
+use jujube_core::pipeline::reserve::LeaseId;
 use jujube_core::pipeline::reserve::Piece;
 use jujube_core::pipeline::reserve::Record;
 use jujube_core::pipeline::reserve::Reserve;
-use jujube_core::pipeline::reserve::Tenure;
 use jujube_core::revision::Revision;
 use jujube_core::time::Instant;
 use jujube_core::time::Span;
@@ -103,7 +103,7 @@
 struct Data {
     revision: u64,
     /// Until when each lease lasts.
-    leases: BTreeMap<Tenure, u64>,
+    leases: BTreeMap<LeaseId, u64>,
     pieces: BTreeMap<Piece, Record>,
     /// Every change: its revision, which piece, what was written.
     history: Vec<(Revision, Piece, Option<Record>)>,
@@ -119,13 +119,13 @@
     /// What it had in the last seconds, oldest first.
     copies: VecDeque<Data>,
     /// Writes that are carried out late: when, by whom, what.
-    late: Vec<(u64, Tenure, Write)>,
+    late: Vec<(u64, LeaseId, Write)>,
     down_until: u64,
     leases_stand: bool,
 }
 
 impl Store {
-    fn change(&mut self, piece: Piece, tenure: Option<Tenure>) {
+    fn change(&mut self, piece: Piece, tenure: Option<LeaseId>) {
         self.data.revision += 1;
         let revision = Revision(self.data.revision);
         let record = tenure.map(|tenure| Record { tenure, revision });
@@ -136,14 +136,14 @@
         self.data.history.push((revision, piece, record));
     }
 
-    fn grant(&mut self, now: u64) -> Tenure {
+    fn grant(&mut self, now: u64) -> LeaseId {
         self.data.revision += 1;
-        let tenure = Tenure(self.data.revision);
+        let tenure = LeaseId(self.data.revision);
         self.data.leases.insert(tenure, now + LEASE.0);
         tenure
     }
 
-    fn renew(&mut self, now: u64, tenure: Tenure) -> bool {
+    fn renew(&mut self, now: u64, tenure: LeaseId) -> bool {
         let Some(until) = self.data.leases.get_mut(&tenure) else {
             return false;
         };
@@ -152,7 +152,7 @@
     }
 
     /// Carries a write out if all its conditions hold; tells whether they did.
-    fn write(&mut self, tenure: Tenure, write: &Write) -> bool {
+    fn write(&mut self, tenure: LeaseId, write: &Write) -> bool {
         match write {
             Write::Take(pieces) => {
                 let is_free = |piece| !self.data.pieces.contains_key(piece);
@@ -475,9 +475,9 @@
             return;
         }
         let held = process.reserve.held(&service());
-        let rest = reserve::at_rest(entries);
+        let rest = reserve::idle_pieces(entries);
         let is_short = held < rest || std::mem::take(&mut process.wants);
-        if is_short && held < reserve::most(entries) {
+        if is_short && held < reserve::max_pieces(entries) {
             let mut free = process.reserve.free(&service());
             let count = draw.random_range(1..=8).min(free.len());
             let pieces = (0..count).map(|_| free.swap_remove(draw.random_range(0..free.len())));
@@ -493,7 +493,7 @@
             return;
         }
         process.next_return = now + 1_000;
-        let kept = reserve::worth(TERMS.slack) * rest as f64;
+        let kept = reserve::retries_per_piece(TERMS.slack) * rest as f64;
         if process
             .allowance
             .balance(Instant(now), &TERMS, kept)
@@ -558,7 +558,7 @@
 
 /// Sends a write; tells whether it is known to have been carried out. Its answer may be lost, and it may be carried
 /// out late.
-fn send(now: u64, store: &mut Store, draw: &mut StdRng, tenure: Tenure, write: &Write) -> bool {
+fn send(now: u64, store: &mut Store, draw: &mut StdRng, tenure: LeaseId, write: &Write) -> bool {
     match draw.random_range(0..10) {
         0 => {
             let at = now + draw.random_range(0..10_000);
--- a/crates/front/src/gossip/announce.rs
+++ b/crates/front/src/gossip/announce.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use jujube_core::pipeline::cell::Place;
-use jujube_core::pipeline::reserve::Tenure;
+use jujube_core::pipeline::reserve::LeaseId;
 use jujube_core::revision::Revision;
 use jujube_program::clock;
 use jujube_store::kv::Condition;
@@ -47,7 +47,7 @@
     let key = format!("{ENTRIES}{}", state.settings.name);
     let began = clock::now();
     let lease = store.grant(state.retries.lease).await?;
-    let tenure = Tenure(lease.0.unsigned_abs());
+    let tenure = LeaseId(lease.0.unsigned_abs());
     let announcement = Announcement {
         place: Place {
             zone: state.settings.zone.clone(),
@@ -111,7 +111,7 @@
             }
         };
         reserve.expire(clock::now());
-        if reserve.tenure() != Some(Tenure(lease.0.unsigned_abs())) {
+        if reserve.tenure() != Some(LeaseId(lease.0.unsigned_abs())) {
             log::info!("event=announcement-lost");
             return;
         }
--- a/crates/front/src/gossip/peers.rs
+++ b/crates/front/src/gossip/peers.rs
@@ -10,7 +10,7 @@
 use jujube_core::pipeline::cell::Directory;
 use jujube_core::pipeline::cell::Place;
 use jujube_core::pipeline::outage;
-use jujube_core::pipeline::reserve::Tenure;
+use jujube_core::pipeline::reserve::LeaseId;
 use jujube_core::time::Instant;
 use jujube_store::kv::Value;
 
@@ -20,7 +20,7 @@
     /// Where it is.
     pub place: Place,
     /// The lease of the announcement, which tells this one from an earlier one of the same entry.
-    pub tenure: Tenure,
+    pub tenure: LeaseId,
 }
 
 impl Announcement {
--- a/crates/front/src/slack.rs
+++ b/crates/front/src/slack.rs
@@ -5,9 +5,9 @@
 
 use jujube_core::name::Service;
 use jujube_core::pipeline::reserve;
+use jujube_core::pipeline::reserve::LeaseId;
 use jujube_core::pipeline::reserve::Piece;
 use jujube_core::pipeline::reserve::Record;
-use jujube_core::pipeline::reserve::Tenure;
 use jujube_core::revision::Revision;
 use jujube_store::kv::Change;
 use jujube_store::kv::Condition;
@@ -20,7 +20,7 @@
 use crate::state::State;
 
 /// The start of the keys of pieces; the service and the number follow.
-const PIECES: &str = "jujube/slack/";
+const PIECES_PER_SERVICE: &str = "jujube/slack/";
 /// The most pieces of one call: a transaction takes 32 rows, and each piece has a condition and a write.
 const MOST_AT_ONCE: usize = 12;
 /// How often pieces are looked after when nobody asks for any.
@@ -34,12 +34,12 @@
 
 /// Returns the piece that a key is of.
 pub fn piece(key: &str) -> Option<(Service, Piece)> {
-    let (service, piece) = key.strip_prefix(PIECES)?.rsplit_once('/')?;
+    let (service, piece) = key.strip_prefix(PIECES_PER_SERVICE)?.rsplit_once('/')?;
     Some((service.into(), piece.parse().ok()?))
 }
 
 fn key(service: &Service, piece: Piece) -> String {
-    format!("{PIECES}{service}/{piece}")
+    format!("{PIECES_PER_SERVICE}{service}/{piece}")
 }
 
 /// Returns a piece as the store tells it. A value that cannot be read is somebody else's: the piece is not free.
@@ -47,7 +47,7 @@
     let value = change.value.as_ref()?;
     let tenure = match value {
         Value::Text(text) => text.parse().unwrap_or_default(),
-        Value::Unreadable(_) => Tenure::default(),
+        Value::Unreadable(_) => LeaseId::default(),
     };
     let revision = change.revision;
     Some(Record { tenure, revision })
@@ -77,14 +77,14 @@
     let entries = state.peers.count();
     let held = state.retries.reserve.borrow().held(service);
     let needed = state.retries.take_needed(service) as f64;
-    let worth = reserve::worth(state.retries.terms().slack);
+    let worth = reserve::retries_per_piece(state.retries.terms().slack);
     let needed = if worth > 0.0 {
         (needed / worth).ceil() as u64
     } else {
         0
     };
-    let rest = reserve::at_rest(entries).saturating_sub(held);
-    let most = reserve::most(entries).saturating_sub(held);
+    let rest = reserve::idle_pieces(entries).saturating_sub(held);
+    let most = reserve::max_pieces(entries).saturating_sub(held);
     needed.max(rest).min(most) as usize
 }
 
@@ -155,10 +155,10 @@
 
 /// Takes pieces out of use that are to be given back.
 fn spare<D>(state: &State<D>, service: &Service) -> Vec<(Piece, Revision)> {
-    let rest = reserve::at_rest(state.peers.count());
-    let kept = reserve::worth(state.retries.terms().slack) * rest as f64;
+    let rest = reserve::idle_pieces(state.peers.count());
+    let kept = reserve::retries_per_piece(state.retries.terms().slack) * rest as f64;
     let mut reserve = state.retries.reserve.borrow_mut();
-    let is_needed = reserve.free(service).len() < reserve::FEW;
+    let is_needed = reserve.free(service).len() < reserve::MIN_FREE_PIECES;
     let is_over = reserve.held(service) > rest;
     if !is_needed || !is_over || !state.retries.can_spare(service, kept) {
         return Vec::new();
