--- a/crates/core/src/pipeline/outage.rs
+++ b/crates/core/src/pipeline/outage.rs
@@ -2,33 +2,33 @@
 
 /// What the other entries say of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Word {
+pub struct Observation {
     /// How many other entries there are.
-    pub known: u64,
-    /// How many of them were heard lately.
-    pub heard: u64,
+    pub peers: u64,
+    /// How many of them were reachable lately.
+    pub reachable: u64,
     /// How many of those the store answers.
-    pub served: u64,
+    pub with_store: u64,
 }
 
-/// Tells whether the store answers no other entry, as far as most of them are heard.
+/// Tells whether the store answers no other entry, as far as most of them are reachable.
 ///
 /// An entry that the store answers may have been made planner, and those that are silent may be cut off
 /// together with the store. One planner more than one would place layers against each other: with half
-/// of the others silent, or a single one served, the answer is no.
+/// of the others silent, or a single one with_store, the answer is no.
 ///
 /// # Examples
 ///
 /// ```
-/// # use jujube_core::pipeline::outage::Word;
-/// # use jujube_core::pipeline::outage::is_for_all;
-/// let word = |known, heard, served| Word { known, heard, served };
-/// assert!(is_for_all(word(3, 2, 0)));
-/// assert!(!is_for_all(word(3, 3, 1)));
-/// assert!(!is_for_all(word(3, 1, 0)));
+/// # use jujube_core::pipeline::outage::Observation;
+/// # use jujube_core::pipeline::outage::is_global;
+/// let observation = |peers, reachable, with_store| Observation { peers, reachable, with_store };
+/// assert!(is_global(observation(3, 2, 0)));
+/// assert!(!is_global(observation(3, 3, 1)));
+/// assert!(!is_global(observation(3, 1, 0)));
 /// ```
 #[must_use]
-pub fn is_for_all(word: Word) -> bool {
-    let silent = word.known.saturating_sub(word.heard);
-    word.served == 0 && word.heard >= silent
+pub fn is_global(observation: Observation) -> bool {
+    let silent = observation.peers.saturating_sub(observation.reachable);
+    observation.with_store == 0 && observation.reachable >= silent
 }
--- a/crates/core/src/pipeline/reserve.rs
+++ b/crates/core/src/pipeline/reserve.rs
@@ -295,7 +295,7 @@
     }
 }
 
-/// Returns how many retries a piece of a slack is retries_per_piece.
+/// Returns how many retries a piece of a slack is worth.
 #[must_use]
 pub fn retries_per_piece(slack: f64) -> f64 {
     slack / f64::from(PIECES_PER_SERVICE)
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -4,8 +4,8 @@
 mod registry;
 
 use jujube_core::layer::Range;
-use jujube_core::pipeline::outage::Word;
-use jujube_core::pipeline::outage::is_for_all;
+use jujube_core::pipeline::outage::Observation;
+use jujube_core::pipeline::outage::is_global;
 use jujube_core::pipeline::roster::Effect;
 use jujube_core::pipeline::roster::LAPSE_GRACE;
 use jujube_core::pipeline::roster::Roster;
@@ -142,18 +142,24 @@
 /// a cut, so half of them are enough to stop as well.
 #[test]
 fn an_outage_is_for_all_only_while_nobody_is_served() {
-    let all = Word {
-        known: 5,
-        heard: 5,
-        served: 0,
+    let all = Observation {
+        peers: 5,
+        reachable: 5,
+        with_store: 0,
+    };
+    let one_served = Observation {
+        with_store: 1,
+        ..all
+    };
+    let most_silent = Observation {
+        reachable: 2,
+        ..all
     };
-    let one_served = Word { served: 1, ..all };
-    let most_silent = Word { heard: 2, ..all };
 
-    assert!(is_for_all(all));
-    assert!(!is_for_all(one_served));
-    assert!(!is_for_all(most_silent));
-    assert!(is_for_all(Word::default()), "an entry that is alone");
+    assert!(is_global(all));
+    assert!(!is_global(one_served));
+    assert!(!is_global(most_silent));
+    assert!(is_global(Observation::default()), "an entry that is alone");
 }
 
 /// A planner that has just been made gives layers at once to a server that joined before.
--- a/crates/front/src/gossip/peers.rs
+++ b/crates/front/src/gossip/peers.rs
@@ -80,10 +80,10 @@
 
     /// Tells whether the store answers no other entry.
     pub fn is_store_away(&self) -> bool {
-        outage::is_for_all(outage::Word {
-            known: self.count().saturating_sub(1),
-            heard: self.heard.get(),
-            served: self.served.get(),
+        outage::is_global(outage::Observation {
+            peers: self.count().saturating_sub(1),
+            reachable: self.heard.get(),
+            with_store: self.served.get(),
         })
     }
 
