--- a/crates/core/src/pipeline/deputy.rs
+++ b/crates/core/src/pipeline/deputy.rs
@@ -8,7 +8,7 @@
 
 /// How long the planner must not have been heard to count as gone: entries tell one another several
 /// times a second, so several words in a row were lost.
-pub const GONE: Span = Span(1_200);
+pub const PLANNER_TIMEOUT: Span = Span(1_200);
 
 /// What entries say of the planner.
 ///
@@ -24,19 +24,19 @@
 ///
 /// ```
 /// # use jujube_core::fence::Token;
-/// # use jujube_core::pipeline::deputy::GONE;
-/// # use jujube_core::pipeline::deputy::Sight;
+/// # use jujube_core::pipeline::deputy::PLANNER_TIMEOUT;
+/// # use jujube_core::pipeline::deputy::Election;
 /// # use jujube_core::time::Instant;
 /// let [planner, own, other] = [9, 1, 2].map(|host| ([10, 0, 0, host], 7340).into());
-/// let mut sight = Sight::default();
-/// sight.heard(Instant(0), planner, Some(Token(4)));
-/// let gone = Instant(0).plus(GONE);
-/// assert_eq!(sight.stands_in(Instant(100), own, [other]), None);
-/// assert_eq!(sight.stands_in(gone, own, [other]), Some(Token(4)));
-/// assert_eq!(sight.stands_in(gone, other, [own]), None);
+/// let mut election = Election::default();
+/// election.heard(Instant(0), planner, Some(Token(4)));
+/// let gone = Instant(0).plus(PLANNER_TIMEOUT);
+/// assert_eq!(election.deputy_token(Instant(100), own, [other]), None);
+/// assert_eq!(election.deputy_token(gone, own, [other]), Some(Token(4)));
+/// assert_eq!(election.deputy_token(gone, other, [own]), None);
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sight {
+pub struct Election {
     /// Who last said that it is the planner, and when.
     planner: Option<(SocketAddr, Instant)>,
     /// The highest fencing number that was heard.
@@ -45,7 +45,7 @@
     refused: Option<Token>,
 }
 
-impl Sight {
+impl Election {
     /// Takes an entry's word on whether it is the planner, and under which number.
     pub fn heard(&mut self, now: Instant, entry: SocketAddr, token: Option<Token>) {
         if token.is_some() && token >= self.token {
@@ -70,13 +70,15 @@
     /// Returns who is the planner, as far as it is heard.
     #[must_use]
     pub fn planner(&self, now: Instant) -> Option<SocketAddr> {
-        let heard = self.planner.filter(|(_, at)| now.since(*at) < GONE);
+        let heard = self
+            .planner
+            .filter(|(_, at)| now.since(*at) < PLANNER_TIMEOUT);
         heard.map(|(planner, _)| planner)
     }
 
     /// Returns the number under which this entry is to give orders, if it is to stand in; `others` are
     /// the entries that it hears.
-    pub fn stands_in(
+    pub fn deputy_token(
         &self,
         now: Instant,
         own: SocketAddr,
--- a/crates/core/tests/outage.rs
+++ b/crates/core/tests/outage.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 
 use jujube_core::fence::Token;
-use jujube_core::pipeline::deputy::GONE;
-use jujube_core::pipeline::deputy::Sight;
+use jujube_core::pipeline::deputy::Election;
+use jujube_core::pipeline::deputy::PLANNER_TIMEOUT;
 use jujube_core::pipeline::refusals::Refusals;
 use jujube_core::time::Instant;
 use jujube_core::time::Span;
@@ -29,7 +29,7 @@
 /// Entries that tell one another whether they are the planner, or stand in for it.
 struct World {
     now: Instant,
-    sights: Vec<Sight>,
+    sights: Vec<Election>,
     alive: BTreeSet<usize>,
     planners: BTreeSet<usize>,
 }
@@ -38,7 +38,7 @@
     fn new(entries: usize, planner: usize) -> Self {
         Self {
             now: Instant(0),
-            sights: vec![Sight::default(); entries],
+            sights: vec![Election::default(); entries],
             alive: (0..entries).collect(),
             planners: [planner].into(),
         }
@@ -61,7 +61,7 @@
             if self.sights[own].planner(self.now).is_some() {
                 self.planners.remove(&own);
             } else if self.sights[own]
-                .stands_in(self.now, entry(own), others)
+                .deputy_token(self.now, entry(own), others)
                 .is_some()
             {
                 self.planners.insert(own);
@@ -87,7 +87,7 @@
         for dead in [3, 0] {
             world.alive.remove(&dead);
             world.planners.remove(&dead);
-            for _ in 0..2 * GONE.0 / TELL {
+            for _ in 0..2 * PLANNER_TIMEOUT.0 / TELL {
                 world.round(0.05, &mut random);
             }
             let first = *world.alive.first().unwrap();
@@ -99,32 +99,39 @@
 /// A planner that resigns is followed at once.
 #[test]
 fn a_planner_that_resigns_is_not_waited_for() {
-    let mut sight = Sight::default();
-    sight.heard(Instant(0), entry(3), Some(Token(4)));
-    let before = sight.stands_in(Instant(100), entry(0), [entry(1)]);
+    let mut election = Election::default();
+    election.heard(Instant(0), entry(3), Some(Token(4)));
+    let before = election.deputy_token(Instant(100), entry(0), [entry(1)]);
 
-    sight.heard(Instant(100), entry(3), None);
+    election.heard(Instant(100), entry(3), None);
 
     assert_eq!(before, None);
     assert_eq!(
-        sight.stands_in(Instant(100), entry(0), [entry(1)]),
+        election.deputy_token(Instant(100), entry(0), [entry(1)]),
         Some(Token(4))
     );
-    assert_eq!(sight.stands_in(Instant(100), entry(1), [entry(0)]), None);
+    assert_eq!(
+        election.deputy_token(Instant(100), entry(1), [entry(0)]),
+        None
+    );
 }
 
 /// Nobody stands in under a number that was never heard, or an old one.
 #[test]
 fn a_deputy_orders_under_the_highest_number_that_was_heard() {
-    let mut sight = Sight::default();
-    assert_eq!(sight.stands_in(Instant(0), entry(0), []), None);
-    sight.heard(Instant(0), entry(3), Some(Token(7)));
+    let mut election = Election::default();
+    assert_eq!(election.deputy_token(Instant(0), entry(0), []), None);
+    election.heard(Instant(0), entry(3), Some(Token(7)));
 
-    sight.heard(Instant(10), entry(2), Some(Token(5)));
+    election.heard(Instant(10), entry(2), Some(Token(5)));
 
-    assert_eq!(sight.planner(Instant(20)), Some(entry(3)), "the later one");
     assert_eq!(
-        sight.stands_in(Instant(0).plus(GONE), entry(0), []),
+        election.planner(Instant(20)),
+        Some(entry(3)),
+        "the later one"
+    );
+    assert_eq!(
+        election.deputy_token(Instant(0).plus(PLANNER_TIMEOUT), entry(0), []),
         Some(Token(7))
     );
 }
@@ -135,17 +142,17 @@
 /// deputy's order is refused; it gives no more until it hears of a number that was not refused.
 #[test]
 fn a_deputy_that_was_refused_does_not_begin_again() {
-    let mut sight = Sight::default();
-    sight.heard(Instant(0), entry(3), Some(Token(4)));
-    let gone = Instant(0).plus(GONE);
-    assert_eq!(sight.stands_in(gone, entry(0), []), Some(Token(4)));
+    let mut election = Election::default();
+    election.heard(Instant(0), entry(3), Some(Token(4)));
+    let gone = Instant(0).plus(PLANNER_TIMEOUT);
+    assert_eq!(election.deputy_token(gone, entry(0), []), Some(Token(4)));
 
-    sight.refused(Token(4));
+    election.refused(Token(4));
 
-    assert_eq!(sight.stands_in(gone, entry(0), []), None);
-    sight.heard(gone, entry(3), Some(Token(5)));
-    let gone = gone.plus(GONE);
-    assert_eq!(sight.stands_in(gone, entry(0), []), Some(Token(5)));
+    assert_eq!(election.deputy_token(gone, entry(0), []), None);
+    election.heard(gone, entry(3), Some(Token(5)));
+    let gone = gone.plus(PLANNER_TIMEOUT);
+    assert_eq!(election.deputy_token(gone, entry(0), []), Some(Token(5)));
 }
 
 /// A refusal long ago does not make a server a leaver.
--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -10,7 +10,7 @@
 
 use jujube_core::fence::Holder;
 use jujube_core::fence::Token;
-use jujube_core::pipeline::deputy::Sight;
+use jujube_core::pipeline::deputy::Election;
 use jujube_core::time::Instant;
 use jujube_core::time::Span;
 use jujube_program::clock;
@@ -36,7 +36,7 @@
     own: Cell<Option<Token>>,
     /// How often the store has come back from an older copy.
     restores: Cell<u64>,
-    sight: Cell<Sight>,
+    election: Cell<Election>,
 }
 
 impl Leadership {
@@ -61,20 +61,20 @@
 
     /// Books that an order under a number was refused, since a later one was used.
     pub fn refused(&self, token: Token) {
-        let mut sight = self.sight.get();
-        sight.refused(token);
-        self.sight.set(sight);
+        let mut election = self.election.get();
+        election.refused(token);
+        self.election.set(election);
     }
 
     /// Takes another entry's word on whether it is the planner.
     pub fn heard_entry(&self, now: Instant, entry: SocketAddr, token: Option<Token>) {
-        let mut sight = self.sight.get();
-        let before = sight.planner(now);
-        sight.heard(now, entry, token);
+        let mut election = self.election.get();
+        let before = election.planner(now);
+        election.heard(now, entry, token);
         if token.is_some() && before != Some(entry) {
             log::info!("event=planner-heard entry={entry}");
         }
-        self.sight.set(sight);
+        self.election.set(election);
     }
 }
 
@@ -124,8 +124,8 @@
         return None;
     }
     let (now, own) = (clock::now(), state.settings.gossip);
-    let sight = state.leadership.sight.get();
-    let token = sight.stands_in(now, own, state.peers.ready())?;
+    let election = state.leadership.election.get();
+    let token = election.deputy_token(now, own, state.peers.ready())?;
     Some(Holder {
         token,
         renewed: now,
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -127,7 +127,7 @@
     fn is_needed(&self) -> bool {
         let now = clock::now();
         let state = &self.state;
-        if state.leadership.sight.get().planner(now).is_some() {
+        if state.leadership.election.get().planner(now).is_some() {
             return false;
         }
         if state.roster.borrow().is_store_away() {
