--- a/crates/core/src/pipeline/era.rs
+++ b/crates/core/src/pipeline/era.rs
@@ -12,13 +12,13 @@
 
 /// What the era that an answer tells means for the answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Word {
+pub enum Freshness {
     /// It is of the newest era, or tells none.
     Current,
     /// It is the first of a later era: what was known of the store may be forgotten there.
-    Risen,
+    Advanced,
     /// It is of an earlier era: what it says may be forgotten by now.
-    Late,
+    Stale,
 }
 
 /// The newest era of a store's answers.
@@ -27,32 +27,32 @@
 ///
 /// ```
 /// # use jujube_core::pipeline::era::Era;
-/// # use jujube_core::pipeline::era::Eras;
-/// # use jujube_core::pipeline::era::Word;
-/// let mut eras = Eras::default();
-/// assert_eq!(eras.hear(Some(Era(4))), Word::Current, "the first one that is heard");
-/// assert_eq!(eras.hear(Some(Era(5))), Word::Risen);
-/// assert_eq!(eras.hear(Some(Era(4))), Word::Late);
-/// assert_eq!(eras.hear(None), Word::Current);
-/// assert_eq!(eras.newest(), Some(Era(5)));
+/// # use jujube_core::pipeline::era::Tracker;
+/// # use jujube_core::pipeline::era::Freshness;
+/// let mut tracker = Tracker::default();
+/// assert_eq!(tracker.observe(Some(Era(4))), Freshness::Current, "the first one that is heard");
+/// assert_eq!(tracker.observe(Some(Era(5))), Freshness::Advanced);
+/// assert_eq!(tracker.observe(Some(Era(4))), Freshness::Stale);
+/// assert_eq!(tracker.observe(None), Freshness::Current);
+/// assert_eq!(tracker.newest(), Some(Era(5)));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Eras {
+pub struct Tracker {
     newest: Option<Era>,
 }
 
-impl Eras {
+impl Tracker {
     /// Takes the era that an answer tells.
-    pub fn hear(&mut self, told: Option<Era>) -> Word {
+    pub fn observe(&mut self, told: Option<Era>) -> Freshness {
         let Some(told) = told else {
-            return Word::Current;
+            return Freshness::Current;
         };
         let newest = self.newest;
         self.newest = newest.max(Some(told));
         match newest {
-            Some(newest) if told > newest => Word::Risen,
-            Some(newest) if told < newest => Word::Late,
-            _ => Word::Current,
+            Some(newest) if told > newest => Freshness::Advanced,
+            Some(newest) if told < newest => Freshness::Stale,
+            _ => Freshness::Current,
         }
     }
 
--- a/crates/core/tests/support/entries.rs
+++ b/crates/core/tests/support/entries.rs
@@ -11,9 +11,9 @@
 use jujube_core::pipeline::budget::Budget;
 use jujube_core::pipeline::budget::Policy;
 use jujube_core::pipeline::era::Era;
-use jujube_core::pipeline::era::Eras;
+use jujube_core::pipeline::era::Freshness;
 use jujube_core::pipeline::era::Settling;
-use jujube_core::pipeline::era::Word;
+use jujube_core::pipeline::era::Tracker;
 use jujube_core::pipeline::reserve;
 use jujube_core::pipeline::reserve::LeaseId;
 use jujube_core::pipeline::reserve::Piece;
@@ -250,7 +250,7 @@
     /// Up to where it follows the store; `None` until it has read it.
     follows: Option<Revision>,
     /// The era of the store, as far as it knows.
-    eras: Eras,
+    eras: Tracker,
     settling: Settling,
     next_follow: u64,
     next_renewal: u64,
@@ -289,7 +289,7 @@
         reserve: Reserve::new(LEASE, TERMS.reach()),
         allowance: Budget::default(),
         follows: None,
-        eras: Eras::default(),
+        eras: Tracker::default(),
         settling: Settling::default(),
         next_follow: 0,
         next_renewal: 0,
@@ -389,7 +389,7 @@
         let machine = &mut self.machines[number];
         let is_away = now < self.store.down_until || now < machine.store_cut_until;
         let process = machine.process.as_mut().filter(|_| !is_away)?;
-        if process.eras.hear(Some(self.store.era)) == Word::Risen {
+        if process.eras.observe(Some(self.store.era)) == Freshness::Advanced {
             process.reserve.restored();
             process.follows = None;
             process.next_follow = now;
