--- a/crates/core/src/pipeline/attempts.rs
+++ b/crates/core/src/pipeline/attempts.rs
@@ -1,6 +1,6 @@
 //! The runs of one request, against its route's limit of servers.
 
-use crate::pipeline::belief::Belief;
+use crate::pipeline::liveness::Liveness;
 use crate::pipeline::server::Incarnation;
 use crate::time::Instant;
 use crate::time::Span;
@@ -54,19 +54,19 @@
 /// ```
 /// # use jujube_core::pipeline::attempts::Attempts;
 /// # use jujube_core::pipeline::attempts::Outlook;
-/// # use jujube_core::pipeline::belief::Belief;
-/// # use jujube_core::pipeline::belief::End;
+/// # use jujube_core::pipeline::liveness::Liveness;
+/// # use jujube_core::pipeline::liveness::Evidence;
 /// # use jujube_core::time::Instant;
-/// let dead = Belief::Ended(End::Silent);
+/// let dead = Liveness::Ended(Evidence::Silent);
 /// let mut attempts = Attempts::default();
 /// attempts.begin("a".into());
 /// attempts.left(&"a".into());
 /// attempts.begin("b".into());
-/// assert_eq!(attempts.outlook(2, |_| Belief::Suspected), Outlook::Near);
+/// assert_eq!(attempts.outlook(2, |_| Liveness::Suspected), Outlook::Near);
 /// assert_eq!(attempts.outlook(2, |_| dead), Outlook::Open);
 ///
 /// attempts.lost(Instant(0), &"b".into());
-/// attempts.settle(Instant(2_000), |_| Belief::Alive);
+/// attempts.settle(Instant(2_000), |_| Liveness::Alive);
 /// assert_eq!(attempts.outlook(2, |_| dead), Outlook::Closed, "both lived on");
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -109,14 +109,14 @@
     }
 
     /// Settles which servers ended with their runs, by what is believed of them now.
-    pub fn settle(&mut self, now: Instant, belief: impl Fn(&Incarnation) -> Belief) {
+    pub fn settle(&mut self, now: Instant, liveness: impl Fn(&Incarnation) -> Liveness) {
         for run in &mut self.0 {
             let Fate::Lost(lost) = run.fate else {
                 continue;
             };
             if now.since(lost) > SETTLES {
                 run.fate = Fate::Spent;
-            } else if matches!(belief(&run.server), Belief::Ended(_)) {
+            } else if matches!(liveness(&run.server), Liveness::Ended(_)) {
                 run.fate = Fate::Ended;
             }
         }
@@ -134,16 +134,16 @@
     }
 
     /// Tells whether the request may run on one more server, on a route that allows `limit` of them.
-    pub fn outlook(&self, limit: usize, belief: impl Fn(&Incarnation) -> Belief) -> Outlook {
+    pub fn outlook(&self, limit: usize, liveness: impl Fn(&Incarnation) -> Liveness) -> Outlook {
         if self.runs() >= limit + MOST_LOST {
             return Outlook::Closed;
         }
         let (mut spent, mut doubtful) = (0, 0);
         for run in &self.0 {
-            match (run.fate, belief(&run.server)) {
-                (Fate::Ended, _) | (Fate::Running | Fate::Lost(_), Belief::Ended(_)) => {}
-                (Fate::Spent, _) | (_, Belief::Alive) => spent += 1,
-                (_, Belief::Suspected) => doubtful += 1,
+            match (run.fate, liveness(&run.server)) {
+                (Fate::Ended, _) | (Fate::Running | Fate::Lost(_), Liveness::Ended(_)) => {}
+                (Fate::Spent, _) | (_, Liveness::Alive) => spent += 1,
+                (_, Liveness::Suspected) => doubtful += 1,
             }
         }
         if spent + doubtful < limit {
--- a/crates/core/src/pipeline/belief.rs
+++ b/crates/core/src/pipeline/liveness.rs
@@ -10,7 +10,7 @@
 
 /// Why a server counts as ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
+pub enum Evidence {
     /// It is not registered any more.
     Unregistered,
     /// Nobody listens at its address, and an answer that was under way there broke off.
@@ -21,16 +21,16 @@
 
 /// What is believed of a server on which a request ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Belief {
+pub enum Liveness {
     /// It lives.
     Alive,
     /// It is suspected, and may count as ended soon.
     Suspected,
     /// It has ended, and what it did is lost.
-    Ended(End),
+    Ended(Evidence),
 }
 
-impl Belief {
+impl Liveness {
     /// Returns what is believed of a server.
     ///
     /// One that drains refuses new connections seconds before it exits, and serves on those that it has; answers
@@ -41,19 +41,19 @@
     /// # Examples
     ///
     /// ```
-    /// # use jujube_core::pipeline::belief::Belief;
-    /// # use jujube_core::pipeline::belief::End;
+    /// # use jujube_core::pipeline::liveness::Liveness;
+    /// # use jujube_core::pipeline::liveness::Evidence;
     /// # use jujube_core::pipeline::pulse::Pulse;
     /// # use jujube_core::pipeline::roster::Roster;
     /// # use jujube_core::pipeline::suspicion::Suspicion;
     /// # use jujube_core::time::Instant;
     /// # use jujube_core::time::Span;
     /// let (suspicion, pulse) = (Suspicion::default(), Pulse::new(Span(25)));
-    /// let belief = Belief::of(&"a".into(), Instant(0), &Roster::default(), &suspicion, &pulse);
-    /// assert_eq!(belief, Belief::Ended(End::Unregistered));
+    /// let liveness = Liveness::assess(&"a".into(), Instant(0), &Roster::default(), &suspicion, &pulse);
+    /// assert_eq!(liveness, Liveness::Ended(Evidence::Unregistered));
     /// ```
     #[must_use]
-    pub fn of(
+    pub fn assess(
         server: &Incarnation,
         now: Instant,
         roster: &Roster,
@@ -63,11 +63,11 @@
         if roster.get(server).is_none() {
             return match roster.may_linger(server) {
                 true => Self::Alive,
-                false => Self::Ended(End::Unregistered),
+                false => Self::Ended(Evidence::Unregistered),
             };
         }
         match suspicion.end(now, server, pulse) {
-            Some(End::Refuses) if roster.is_draining(server) => Self::Suspected,
+            Some(Evidence::Refuses) if roster.is_draining(server) => Self::Suspected,
             Some(end) => Self::Ended(end),
             None if suspicion.holds(server) => Self::Suspected,
             None => Self::Alive,
@@ -75,14 +75,14 @@
     }
 }
 
-impl fmt::Display for Belief {
+impl fmt::Display for Liveness {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Alive => "alive",
             Self::Suspected => "suspected",
-            Self::Ended(End::Unregistered) => "unregistered",
-            Self::Ended(End::Refuses) => "refuses",
-            Self::Ended(End::Silent) => "silent",
+            Self::Ended(Evidence::Unregistered) => "unregistered",
+            Self::Ended(Evidence::Refuses) => "refuses",
+            Self::Ended(Evidence::Silent) => "silent",
         })
     }
 }
--- a/crates/core/src/pipeline/mod.rs
+++ b/crates/core/src/pipeline/mod.rs
@@ -8,7 +8,6 @@
 pub mod assignment;
 pub mod attempts;
 pub mod backlog;
-pub mod belief;
 pub mod board;
 pub mod budget;
 pub mod cell;
@@ -17,6 +16,7 @@
 pub mod document;
 pub mod engine;
 pub mod era;
+pub mod liveness;
 pub mod load;
 pub mod outage;
 pub mod outlier;
--- a/crates/core/src/pipeline/suspicion.rs
+++ b/crates/core/src/pipeline/suspicion.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::pipeline::belief::End;
+use crate::pipeline::liveness::Evidence;
 use crate::pipeline::pulse::Pulse;
 use crate::pipeline::server::Incarnation;
 use crate::time::Instant;
@@ -161,7 +161,7 @@
     /// new connections seconds before it exits and serves on those that it has: what only refuses may live. The
     /// connections of one that died have all ended.
     #[must_use]
-    pub fn end(&self, now: Instant, server: &Incarnation, pulse: &Pulse) -> Option<End> {
+    pub fn end(&self, now: Instant, server: &Incarnation, pulse: &Pulse) -> Option<Evidence> {
         let suspect = self.suspects.get(server)?;
         if now.since(suspect.since) < ENDED {
             return None;
@@ -169,10 +169,10 @@
         let asked = Instant(suspect.since.0.saturating_sub(ASKED.0));
         if suspect.is_absent {
             let broke = self.broken.get(server).is_some_and(|broke| *broke >= asked);
-            return broke.then_some(End::Refuses);
+            return broke.then_some(Evidence::Refuses);
         }
         let was_sound = !pulse.was_late(asked, now) && pulse.was_in_touch(suspect.since);
-        was_sound.then_some(End::Silent)
+        was_sound.then_some(Evidence::Silent)
     }
 
     /// Tells whether a suspected server's layers are to be placed anew.
--- a/crates/core/tests/belief.rs
+++ b/crates/core/tests/belief.rs
@@ -7,8 +7,8 @@
 
 use jujube_core::pipeline::attempts::Attempts;
 use jujube_core::pipeline::attempts::Outlook;
-use jujube_core::pipeline::belief::Belief;
-use jujube_core::pipeline::belief::End;
+use jujube_core::pipeline::liveness::Evidence;
+use jujube_core::pipeline::liveness::Liveness;
 use jujube_core::pipeline::pulse::Pulse;
 use jujube_core::pipeline::roster::Roster;
 use jujube_core::pipeline::server::Incarnation;
@@ -25,14 +25,14 @@
         attempts.begin(server.into());
     }
     assert_eq!(
-        attempts.outlook(2, |_| Belief::Ended(End::Silent)),
+        attempts.outlook(2, |_| Liveness::Ended(Evidence::Silent)),
         Outlook::Open
     );
 
     attempts.begin("d".into());
 
     assert_eq!(
-        attempts.outlook(2, |_| Belief::Ended(End::Silent)),
+        attempts.outlook(2, |_| Liveness::Ended(Evidence::Silent)),
         Outlook::Closed
     );
 }
@@ -47,8 +47,8 @@
     attempts.left(&"leaver".into());
     attempts.begin("alive".into());
     let gone = |id: &Incarnation| match &*id.server.to_string() {
-        "leaver" => Belief::Ended(End::Unregistered),
-        _ => Belief::Alive,
+        "leaver" => Liveness::Ended(Evidence::Unregistered),
+        _ => Liveness::Alive,
     };
 
     attempts.settle(Instant(5_000), gone);
@@ -64,7 +64,7 @@
         attempts.begin(server.into());
     }
     attempts.lost(Instant(1_000), &"dead".into());
-    let (dead, alive) = (Belief::Ended(End::Refuses), Belief::Alive);
+    let (dead, alive) = (Liveness::Ended(Evidence::Refuses), Liveness::Alive);
 
     attempts.settle(Instant(1_600), |id| {
         if *id == "dead".into() { dead } else { alive }
@@ -86,9 +86,9 @@
     }
     attempts.lost(Instant(1_000), &"leaver".into());
 
-    attempts.settle(Instant(2_500), |_| Belief::Ended(End::Unregistered));
+    attempts.settle(Instant(2_500), |_| Liveness::Ended(Evidence::Unregistered));
 
-    let alive = |_: &Incarnation| Belief::Alive;
+    let alive = |_: &Incarnation| Liveness::Alive;
     assert_eq!(attempts.outlook(2, alive), Outlook::Closed);
 }
 
@@ -121,7 +121,7 @@
     suspicion.broke(Instant(3_000), &"a".into());
     assert_eq!(
         suspicion.end(Instant(3_600), &"a".into(), &pulse),
-        Some(End::Refuses),
+        Some(Evidence::Refuses),
         "nobody listens, and what was under way there broke off"
     );
 }
@@ -157,11 +157,11 @@
     suspicion.refused(&id);
     suspicion.broke(Instant(3_100), &id);
     let believed =
-        |roster: &Roster| Belief::of(&id, Instant(9_000), roster, &suspicion, &beaten(9_000));
+        |roster: &Roster| Liveness::assess(&id, Instant(9_000), roster, &suspicion, &beaten(9_000));
 
-    assert_eq!(believed(&roster), Belief::Suspected);
+    assert_eq!(believed(&roster), Liveness::Suspected);
     roster.removed(Instant(9_000), &id.server);
-    assert_eq!(believed(&roster), Belief::Ended(End::Unregistered));
+    assert_eq!(believed(&roster), Liveness::Ended(Evidence::Unregistered));
 }
 
 /// A request may run on a third server of a route that allows two, all of them alive.
@@ -183,10 +183,14 @@
     }
     roster.tell_dead(Instant(4_980), &suspicion, &pulse);
 
-    let believed = |id: &str| Belief::of(&id.into(), Instant(5_000), &roster, &suspicion, &pulse);
-    assert_eq!(believed("leaver"), Belief::Alive);
-    assert_eq!(believed("dead"), Belief::Ended(End::Unregistered));
-    assert_eq!(believed("never-known"), Belief::Ended(End::Unregistered));
+    let believed =
+        |id: &str| Liveness::assess(&id.into(), Instant(5_000), &roster, &suspicion, &pulse);
+    assert_eq!(believed("leaver"), Liveness::Alive);
+    assert_eq!(believed("dead"), Liveness::Ended(Evidence::Unregistered));
+    assert_eq!(
+        believed("never-known"),
+        Liveness::Ended(Evidence::Unregistered)
+    );
 }
 
 #[test]
--- a/crates/core/tests/third_server.rs
+++ b/crates/core/tests/third_server.rs
@@ -10,7 +10,7 @@
 
 use jujube_core::pipeline::attempts::Attempts;
 use jujube_core::pipeline::attempts::Outlook;
-use jujube_core::pipeline::belief::Belief;
+use jujube_core::pipeline::liveness::Liveness;
 use jujube_core::pipeline::pulse::Pulse;
 use jujube_core::pipeline::roster::Roster;
 use jujube_core::pipeline::server::Incarnation;
@@ -124,7 +124,8 @@
         self.ask();
         for number in 0..self.requests.len() {
             let (suspicion, pulse, now) = (&self.suspicion, &self.pulse, self.now);
-            let belief = |id: &Incarnation| Belief::of(id, now, &self.roster, suspicion, pulse);
+            let belief =
+                |id: &Incarnation| Liveness::assess(id, now, &self.roster, suspicion, pulse);
             self.requests[number].attempts.settle(now, belief);
             self.advance(number);
         }
@@ -292,7 +293,8 @@
 
     fn outlook(&self, number: usize) -> Outlook {
         let (suspicion, pulse) = (&self.suspicion, &self.pulse);
-        let belief = |id: &Incarnation| Belief::of(id, self.now, &self.roster, suspicion, pulse);
+        let belief =
+            |id: &Incarnation| Liveness::assess(id, self.now, &self.roster, suspicion, pulse);
         self.requests[number].attempts.outlook(LIMIT, belief)
     }
 
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -9,11 +9,11 @@
 
 use jujube_core::layer::Range;
 use jujube_core::name::Service;
-use jujube_core::pipeline::belief::Belief;
 use jujube_core::pipeline::cell::Place;
 use jujube_core::pipeline::chooser::Fleet;
 use jujube_core::pipeline::document::Table;
 use jujube_core::pipeline::era::Settling;
+use jujube_core::pipeline::liveness::Liveness;
 use jujube_core::pipeline::load::Load;
 use jujube_core::pipeline::outlier::Outliers;
 use jujube_core::pipeline::pulse::Pulse;
@@ -203,9 +203,9 @@
     }
 
     /// Returns what is believed of a backend server.
-    pub fn belief(&self, server: &Incarnation) -> Belief {
+    pub fn belief(&self, server: &Incarnation) -> Liveness {
         let (roster, suspicion) = (self.roster.borrow(), self.suspicion.borrow());
-        Belief::of(
+        Liveness::assess(
             server,
             clock::now(),
             &roster,
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -6,7 +6,7 @@
 use futures::future::Either;
 use futures::future::select;
 use jujube_core::pipeline::attempts::Outlook;
-use jujube_core::pipeline::belief::Belief;
+use jujube_core::pipeline::liveness::Liveness;
 use jujube_core::pipeline::path::Part;
 use jujube_core::pipeline::path::Path;
 use jujube_core::pipeline::server::Incarnation;
@@ -260,9 +260,9 @@
     let attempts = stream.attempts.borrow();
     attempts.outlook(limit, |server| {
         let belief = state.belief(server);
-        let is_doubted = belief == Belief::Alive && is_doubted(state, stream, server);
+        let is_doubted = belief == Liveness::Alive && is_doubted(state, stream, server);
         if is_doubted {
-            Belief::Suspected
+            Liveness::Suspected
         } else {
             belief
         }
