--- a/crates/core/src/pipeline/attempts.rs
+++ b/crates/core/src/pipeline/attempts.rs
@@ -14,18 +14,18 @@
 
 /// Whether a request may run on one more server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Outlook {
+pub enum Permission {
     /// It may now.
-    Open,
+    Allowed,
     /// It may once a server that is suspected counts as ended.
-    Near,
+    Pending,
     /// It may not.
-    Closed,
+    Denied,
 }
 
 /// What became of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
+enum Outcome {
     /// It is under way.
     Running,
     /// It was lost, and whether its server ended with it is not known yet.
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 struct Run {
     server: Incarnation,
-    fate: Fate,
+    outcome: Outcome,
 }
 
 /// The servers that a request was sent to and that may have run it, in order.
@@ -53,7 +53,7 @@
 ///
 /// ```
 /// # use jujube_core::pipeline::attempts::Attempts;
-/// # use jujube_core::pipeline::attempts::Outlook;
+/// # use jujube_core::pipeline::attempts::Permission;
 /// # use jujube_core::pipeline::liveness::Liveness;
 /// # use jujube_core::pipeline::liveness::Evidence;
 /// # use jujube_core::time::Instant;
@@ -62,12 +62,12 @@
 /// attempts.begin("a".into());
 /// attempts.left(&"a".into());
 /// attempts.begin("b".into());
-/// assert_eq!(attempts.outlook(2, |_| Liveness::Suspected), Outlook::Near);
-/// assert_eq!(attempts.outlook(2, |_| dead), Outlook::Open);
+/// assert_eq!(attempts.outlook(2, |_| Liveness::Suspected), Permission::Pending);
+/// assert_eq!(attempts.outlook(2, |_| dead), Permission::Allowed);
 ///
 /// attempts.lost(Instant(0), &"b".into());
 /// attempts.settle(Instant(2_000), |_| Liveness::Alive);
-/// assert_eq!(attempts.outlook(2, |_| dead), Outlook::Closed, "both lived on");
+/// assert_eq!(attempts.outlook(2, |_| dead), Permission::Denied, "both lived on");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Attempts(Vec<Run>);
@@ -75,8 +75,8 @@
 impl Attempts {
     /// Books a run that is being sent to a server.
     pub fn begin(&mut self, server: Incarnation) {
-        let fate = Fate::Running;
-        self.0.push(Run { server, fate });
+        let outcome = Outcome::Running;
+        self.0.push(Run { server, outcome });
     }
 
     /// Takes back the last run: the server says that it has not run the request, or never got it.
@@ -86,38 +86,38 @@
 
     /// Books that the run on a server broke off, or that its server was found dead.
     pub fn lost(&mut self, now: Instant, server: &Incarnation) {
-        self.end(server, Fate::Lost(now));
+        self.end(server, Outcome::Lost(now));
     }
 
     /// Books that the run on a server was given up, or has failed, while the server lived.
     pub fn left(&mut self, server: &Incarnation) {
-        self.end(server, Fate::Spent);
+        self.end(server, Outcome::Spent);
     }
 
-    fn end(&mut self, server: &Incarnation, fate: Fate) {
-        let is_it = |run: &&mut Run| run.server == *server && run.fate == Fate::Running;
+    fn end(&mut self, server: &Incarnation, outcome: Outcome) {
+        let is_it = |run: &&mut Run| run.server == *server && run.outcome == Outcome::Running;
         if let Some(run) = self.0.iter_mut().rev().find(is_it) {
-            run.fate = fate;
+            run.outcome = outcome;
         }
     }
 
     /// Tells whether it is not known yet of some run whether its server ended with it.
     #[must_use]
     pub fn is_unsettled(&self) -> bool {
-        let is_lost = |run: &Run| matches!(run.fate, Fate::Lost(_));
+        let is_lost = |run: &Run| matches!(run.outcome, Outcome::Lost(_));
         self.0.iter().any(is_lost)
     }
 
     /// Settles which servers ended with their runs, by what is believed of them now.
     pub fn settle(&mut self, now: Instant, liveness: impl Fn(&Incarnation) -> Liveness) {
         for run in &mut self.0 {
-            let Fate::Lost(lost) = run.fate else {
+            let Outcome::Lost(lost) = run.outcome else {
                 continue;
             };
             if now.since(lost) > SETTLES {
-                run.fate = Fate::Spent;
+                run.outcome = Outcome::Spent;
             } else if matches!(liveness(&run.server), Liveness::Ended(_)) {
-                run.fate = Fate::Ended;
+                run.outcome = Outcome::Ended;
             }
         }
     }
@@ -134,24 +134,25 @@
     }
 
     /// Tells whether the request may run on one more server, on a route that allows `limit` of them.
-    pub fn outlook(&self, limit: usize, liveness: impl Fn(&Incarnation) -> Liveness) -> Outlook {
+    pub fn outlook(&self, limit: usize, liveness: impl Fn(&Incarnation) -> Liveness) -> Permission {
         if self.runs() >= limit + MOST_LOST {
-            return Outlook::Closed;
+            return Permission::Denied;
         }
         let (mut spent, mut doubtful) = (0, 0);
         for run in &self.0 {
-            match (run.fate, liveness(&run.server)) {
-                (Fate::Ended, _) | (Fate::Running | Fate::Lost(_), Liveness::Ended(_)) => {}
-                (Fate::Spent, _) | (_, Liveness::Alive) => spent += 1,
+            match (run.outcome, liveness(&run.server)) {
+                (Outcome::Ended, _) | (Outcome::Running | Outcome::Lost(_), Liveness::Ended(_)) => {
+                }
+                (Outcome::Spent, _) | (_, Liveness::Alive) => spent += 1,
                 (_, Liveness::Suspected) => doubtful += 1,
             }
         }
         if spent + doubtful < limit {
-            return Outlook::Open;
+            return Permission::Allowed;
         }
         if spent < limit {
-            return Outlook::Near;
+            return Permission::Pending;
         }
-        Outlook::Closed
+        Permission::Denied
     }
 }
--- a/crates/core/tests/belief.rs
+++ b/crates/core/tests/belief.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use jujube_core::pipeline::attempts::Attempts;
-use jujube_core::pipeline::attempts::Outlook;
+use jujube_core::pipeline::attempts::Permission;
 use jujube_core::pipeline::liveness::Evidence;
 use jujube_core::pipeline::liveness::Liveness;
 use jujube_core::pipeline::pulse::Pulse;
@@ -26,14 +26,14 @@
     }
     assert_eq!(
         attempts.outlook(2, |_| Liveness::Ended(Evidence::Silent)),
-        Outlook::Open
+        Permission::Allowed
     );
 
     attempts.begin("d".into());
 
     assert_eq!(
         attempts.outlook(2, |_| Liveness::Ended(Evidence::Silent)),
-        Outlook::Closed
+        Permission::Denied
     );
 }
 
@@ -53,7 +53,7 @@
 
     attempts.settle(Instant(5_000), gone);
 
-    assert_eq!(attempts.outlook(2, gone), Outlook::Closed);
+    assert_eq!(attempts.outlook(2, gone), Permission::Denied);
 }
 
 /// The request goes on elsewhere: its server died, and is found dead half a second later.
@@ -72,7 +72,7 @@
 
     assert_eq!(
         attempts.outlook(2, |_| alive),
-        Outlook::Open,
+        Permission::Allowed,
         "also when it starts again"
     );
 }
@@ -89,7 +89,7 @@
     attempts.settle(Instant(2_500), |_| Liveness::Ended(Evidence::Unregistered));
 
     let alive = |_: &Incarnation| Liveness::Alive;
-    assert_eq!(attempts.outlook(2, alive), Outlook::Closed);
+    assert_eq!(attempts.outlook(2, alive), Permission::Denied);
 }
 
 fn beaten(until: u64) -> Pulse {
--- a/crates/core/tests/third_server.rs
+++ b/crates/core/tests/third_server.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use jujube_core::pipeline::attempts::Attempts;
-use jujube_core::pipeline::attempts::Outlook;
+use jujube_core::pipeline::attempts::Permission;
 use jujube_core::pipeline::liveness::Liveness;
 use jujube_core::pipeline::pulse::Pulse;
 use jujube_core::pipeline::roster::Roster;
@@ -270,7 +270,7 @@
             if !is_found_dead && choice > 0.01 {
                 return;
             }
-            if self.outlook(number) != Outlook::Open {
+            if self.outlook(number) != Permission::Allowed {
                 return;
             }
             let (request, now) = (&mut self.requests[number], self.now);
@@ -286,12 +286,12 @@
                 return;
             }
         }
-        if choice < 0.3 && self.outlook(number) == Outlook::Open {
+        if choice < 0.3 && self.outlook(number) == Permission::Allowed {
             self.send(number);
         }
     }
 
-    fn outlook(&self, number: usize) -> Outlook {
+    fn outlook(&self, number: usize) -> Permission {
         let (suspicion, pulse) = (&self.suspicion, &self.pulse);
         let belief =
             |id: &Incarnation| Liveness::assess(id, self.now, &self.roster, suspicion, pulse);
--- a/crates/front/src/stream/live.rs
+++ b/crates/front/src/stream/live.rs
@@ -10,7 +10,7 @@
 use hyper::HeaderMap;
 use hyper::body::Body as _;
 use hyper::body::Incoming;
-use jujube_core::pipeline::attempts::Outlook;
+use jujube_core::pipeline::attempts::Permission;
 use jujube_core::pipeline::relay::Relay;
 use jujube_program::clock;
 use tokio::sync::oneshot;
@@ -178,7 +178,7 @@
     /// Tells whether the stream may be opened again after its last whole event.
     fn may_go_on(&self) -> bool {
         let stream = &self.registration.stream;
-        let is_over = outlook(&self.registration.state, stream) == Outlook::Closed;
+        let is_over = outlook(&self.registration.state, stream) == Permission::Denied;
         self.is_events && stream.route.resumable && !is_over
     }
 
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -5,7 +5,7 @@
 
 use futures::future::Either;
 use futures::future::select;
-use jujube_core::pipeline::attempts::Outlook;
+use jujube_core::pipeline::attempts::Permission;
 use jujube_core::pipeline::liveness::Liveness;
 use jujube_core::pipeline::path::Part;
 use jujube_core::pipeline::path::Path;
@@ -87,11 +87,11 @@
         }
         match outlook(state, stream) {
             _ if stream.runs() == 0 => {}
-            Outlook::Open => {}
+            Permission::Allowed => {}
             // A broken connection shows within milliseconds that a run is lost, and a server counts as ended half
             // a second later. Given up in between, streams would be cut whose servers leave as planned.
-            Outlook::Near if waits_for_room(stream).await => continue,
-            Outlook::Near | Outlook::Closed => return Err((Reason::Failed, cause)),
+            Permission::Pending if waits_for_room(stream).await => continue,
+            Permission::Pending | Permission::Denied => return Err((Reason::Failed, cause)),
         }
         stream.abandoned.set(None);
         if stream.was_sent.get() && !retry_comes(state, stream).await {
@@ -251,9 +251,9 @@
 }
 
 /// Tells whether a stream may run on one more server.
-pub(super) fn outlook<D>(state: &State<D>, stream: &Stream) -> Outlook {
+pub(super) fn outlook<D>(state: &State<D>, stream: &Stream) -> Permission {
     if !stream.route.may_repeat() {
-        return Outlook::Closed;
+        return Permission::Denied;
     }
     settle(state, stream);
     let limit = stream.route.attempts as usize;
@@ -306,7 +306,7 @@
 
 /// Tells whether a stream that may have run may be sent to engines once more.
 pub(super) fn may_run_again<D>(state: &State<D>, stream: &Stream) -> bool {
-    outlook(state, stream) == Outlook::Open && holds_retry(state, stream)
+    outlook(state, stream) == Permission::Allowed && holds_retry(state, stream)
 }
 
 /// Tells whether a retry is in hand for the next run, after taking one if there was none.
