--- a/crates/core/src/pipeline/chooser/mod.rs
+++ b/crates/core/src/pipeline/chooser/mod.rs
@@ -122,13 +122,13 @@
 
     /// Returns what a server's record costs a request, in milliseconds.
     fn penalty_ms(&self, server: &Incarnation) -> f64 {
-        if self.suspicion.holds(server) || self.avoid.contains(server) {
+        if self.suspicion.is_suspected(server) || self.avoid.contains(server) {
             return SUSPECT_MS;
         }
-        if self.outliers.holds(server) || self.suspicion.is_doubted(server) {
+        if self.outliers.holds(server) || self.suspicion.is_widely_suspected(server) {
             return OUTLIER_MS;
         }
-        match self.suspicion.told(server) {
+        match self.suspicion.peer_reports(server) {
             0 => 0.0,
             _ => DOUBTED_MS,
         }
--- a/crates/core/src/pipeline/liveness.rs
+++ b/crates/core/src/pipeline/liveness.rs
@@ -66,10 +66,10 @@
                 false => Self::Ended(Evidence::Unregistered),
             };
         }
-        match suspicion.end(now, server, pulse) {
+        match suspicion.evidence(now, server, pulse) {
             Some(Evidence::Refuses) if roster.is_draining(server) => Self::Suspected,
             Some(end) => Self::Ended(end),
-            None if suspicion.holds(server) => Self::Suspected,
+            None if suspicion.is_suspected(server) => Self::Suspected,
             None => Self::Alive,
         }
     }
--- a/crates/core/src/pipeline/roster.rs
+++ b/crates/core/src/pipeline/roster.rs
@@ -288,7 +288,7 @@
 
     /// Takes who is suspected: those that count as ended and whose registration went died, and did not leave.
     pub fn tell_dead(&mut self, now: Instant, suspicion: &Suspicion, pulse: &Pulse) {
-        let has_ended = |server: &Incarnation| suspicion.end(now, server, pulse).is_some();
+        let has_ended = |server: &Incarnation| suspicion.evidence(now, server, pulse).is_some();
         for (incarnation, departure) in &mut self.departed {
             departure.is_final |= has_ended(incarnation);
         }
--- a/crates/core/src/pipeline/suspicion.rs
+++ b/crates/core/src/pipeline/suspicion.rs
@@ -27,9 +27,9 @@
 const ASKED: Span = Span(500);
 
 /// How long a server must have been suspected for its layers to be placed anew: it was asked twice more.
-pub const GIVEN_UP: Span = Span(800);
+pub const REPLACE_AFTER: Span = Span(800);
 /// The same where no other entry suspects it: it was asked four times more.
-pub const GIVEN_UP_ALONE: Span = Span(2_000);
+pub const REPLACE_AFTER_ALONE: Span = Span(2_000);
 
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
@@ -52,24 +52,24 @@
 /// # use jujube_core::pipeline::suspicion::Suspicion;
 /// # use jujube_core::time::Instant;
 /// let mut suspicion = Suspicion::default();
-/// assert!(suspicion.accuse(Instant(0), &"a".into()));
-/// assert!(suspicion.holds(&"a".into()));
+/// assert!(suspicion.suspect(Instant(0), &"a".into()));
+/// assert!(suspicion.is_suspected(&"a".into()));
 /// assert_eq!(suspicion.due(Instant(200)), vec!["a".into()]);
 /// suspicion.clear(&"a".into());
-/// assert!(!suspicion.holds(&"a".into()));
+/// assert!(!suspicion.is_suspected(&"a".into()));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Suspicion {
     suspects: BTreeMap<Incarnation, Suspect>,
     /// How many other entries suspect a server.
-    told: BTreeMap<Incarnation, u64>,
+    peer_reports: BTreeMap<Incarnation, u64>,
     /// When an answer last broke off that a server was giving.
     broken: BTreeMap<Incarnation, Instant>,
 }
 
 impl Suspicion {
     /// Books a failure; `true` when the server was not suspected before.
-    pub fn accuse(&mut self, now: Instant, server: &Incarnation) -> bool {
+    pub fn suspect(&mut self, now: Instant, server: &Incarnation) -> bool {
         if self.suspects.contains_key(server) {
             return false;
         }
@@ -85,12 +85,12 @@
 
     /// Tells whether a server is suspected.
     #[must_use]
-    pub fn holds(&self, server: &Incarnation) -> bool {
+    pub fn is_suspected(&self, server: &Incarnation) -> bool {
         self.suspects.contains_key(server)
     }
 
     /// Returns who is suspected.
-    pub fn names(&self) -> impl Iterator<Item = &Incarnation> {
+    pub fn suspects(&self) -> impl Iterator<Item = &Incarnation> {
         self.suspects.keys()
     }
 
@@ -99,15 +99,19 @@
     /// Words do not make a suspect: one entry that is cut off, late or wrong accuses all servers, and would have all
     /// others leave them. Whoever has requests at a server that others suspect asks it; the rest prefer others
     /// while it is so. A suspect that others trust again is asked at once, so that one entry's question serves all.
-    pub fn set_told(&mut self, now: Instant, told: BTreeMap<Incarnation, u64>) -> Vec<Incarnation> {
-        let before = std::mem::replace(&mut self.told, told);
+    pub fn set_peer_reports(
+        &mut self,
+        now: Instant,
+        reports: BTreeMap<Incarnation, u64>,
+    ) -> Vec<Incarnation> {
+        let before = std::mem::replace(&mut self.peer_reports, reports);
         for (server, suspect) in &mut self.suspects {
-            if before.contains_key(server) && !self.told.contains_key(server) {
+            if before.contains_key(server) && !self.peer_reports.contains_key(server) {
                 suspect.ask_at = now;
             }
         }
         let fresh = self
-            .told
+            .peer_reports
             .keys()
             .filter(|server| !before.contains_key(*server));
         fresh.cloned().collect()
@@ -115,14 +119,14 @@
 
     /// Returns how many other entries suspect a server.
     #[must_use]
-    pub fn told(&self, server: &Incarnation) -> u64 {
-        self.told.get(server).copied().unwrap_or(0)
+    pub fn peer_reports(&self, server: &Incarnation) -> u64 {
+        self.peer_reports.get(server).copied().unwrap_or(0)
     }
 
     /// Tells whether so many other entries suspect a server that it is to be avoided.
     #[must_use]
-    pub fn is_doubted(&self, server: &Incarnation) -> bool {
-        self.told(server) >= CREDIBLE
+    pub fn is_widely_suspected(&self, server: &Incarnation) -> bool {
+        self.peer_reports(server) >= CREDIBLE
     }
 
     /// Returns when a server came under suspicion last.
@@ -132,7 +136,7 @@
     }
 
     /// Books that a suspected server's address refuses connections, which no lateness of this process explains.
-    pub fn refused(&mut self, server: &Incarnation) {
+    pub fn set_refusing(&mut self, server: &Incarnation) {
         if let Some(suspect) = self.suspects.get_mut(server) {
             suspect.is_absent = true;
         }
@@ -140,14 +144,14 @@
 
     /// Tells whether a suspected server's address refuses connections.
     #[must_use]
-    pub fn refuses(&self, server: &Incarnation) -> bool {
+    pub fn is_refusing(&self, server: &Incarnation) -> bool {
         self.suspects
             .get(server)
             .is_some_and(|suspect| suspect.is_absent)
     }
 
     /// Books that an answer which a server was giving broke off by itself.
-    pub fn broke(&mut self, now: Instant, server: &Incarnation) {
+    pub fn connection_broken(&mut self, now: Instant, server: &Incarnation) {
         self.broken.insert(server.clone(), now);
     }
 
@@ -161,7 +165,7 @@
     /// new connections seconds before it exits and serves on those that it has: what only refuses may live. The
     /// connections of one that died have all ended.
     #[must_use]
-    pub fn end(&self, now: Instant, server: &Incarnation, pulse: &Pulse) -> Option<Evidence> {
+    pub fn evidence(&self, now: Instant, server: &Incarnation, pulse: &Pulse) -> Option<Evidence> {
         let suspect = self.suspects.get(server)?;
         if now.since(suspect.since) < ENDED {
             return None;
@@ -186,29 +190,35 @@
     ///
     /// ```
     /// # use jujube_core::pipeline::pulse::Pulse;
-    /// # use jujube_core::pipeline::suspicion::GIVEN_UP;
+    /// # use jujube_core::pipeline::suspicion::REPLACE_AFTER;
     /// # use jujube_core::pipeline::suspicion::Suspicion;
     /// # use jujube_core::time::Instant;
     /// # use jujube_core::time::Span;
     /// let mut suspicion = Suspicion::default();
-    /// suspicion.accuse(Instant(0), &"a".into());
-    /// let (pulse, now) = (Pulse::new(Span(25)), Instant(0).plus(GIVEN_UP));
-    /// assert!(!suspicion.is_given_up(now, &"a".into(), &pulse));
-    /// suspicion.refused(&"a".into());
-    /// assert!(suspicion.is_given_up(now, &"a".into(), &pulse));
+    /// suspicion.suspect(Instant(0), &"a".into());
+    /// let (pulse, now) = (Pulse::new(Span(25)), Instant(0).plus(REPLACE_AFTER));
+    /// assert!(!suspicion.is_replaceable(now, &"a".into(), &pulse));
+    /// suspicion.set_refusing(&"a".into());
+    /// assert!(suspicion.is_replaceable(now, &"a".into(), &pulse));
     /// ```
     #[must_use]
-    pub fn is_given_up(&self, now: Instant, server: &Incarnation, pulse: &Pulse) -> bool {
+    pub fn is_replaceable(&self, now: Instant, server: &Incarnation, pulse: &Pulse) -> bool {
         let Some(suspect) = self.suspects.get(server) else {
             return false;
         };
         let lasts = now.since(suspect.since);
         if suspect.is_absent {
-            return lasts >= GIVEN_UP;
+            return lasts >= REPLACE_AFTER;
         }
-        let is_silent = self.end(now, server, pulse).is_some();
-        let is_shared = self.told(server) > 0;
-        is_silent && lasts >= if is_shared { GIVEN_UP } else { GIVEN_UP_ALONE }
+        let is_silent = self.evidence(now, server, pulse).is_some();
+        let is_shared = self.peer_reports(server) > 0;
+        is_silent
+            && lasts
+                >= if is_shared {
+                    REPLACE_AFTER
+                } else {
+                    REPLACE_AFTER_ALONE
+                }
     }
 
     /// Returns the suspects to ask now; each is due again after a longer pause.
@@ -221,7 +231,7 @@
             if suspect.ask_at > now {
                 continue;
             }
-            let others = self.told.get(server).copied().unwrap_or(0);
+            let others = self.peer_reports.get(server).copied().unwrap_or(0);
             suspect.pause = Span((suspect.pause.0 * 2).min(LONGEST_PAUSE.0));
             suspect.ask_at = now.plus(Span(suspect.pause.0 * (1 + others)));
             due.push(server.clone());
--- a/crates/core/tests/belief.rs
+++ b/crates/core/tests/belief.rs
@@ -111,16 +111,20 @@
     let mut suspicion = Suspicion::default();
     let mut pulse = beaten(1_000);
     pulse.beat(Instant(3_000));
-    suspicion.accuse(Instant(3_010), &"a".into());
+    suspicion.suspect(Instant(3_010), &"a".into());
     for now in (3_025..3_600).step_by(25) {
         pulse.beat(Instant(now));
     }
 
-    assert!(suspicion.end(Instant(3_600), &"a".into(), &pulse).is_none());
-    suspicion.refused(&"a".into());
-    suspicion.broke(Instant(3_000), &"a".into());
+    assert!(
+        suspicion
+            .evidence(Instant(3_600), &"a".into(), &pulse)
+            .is_none()
+    );
+    suspicion.set_refusing(&"a".into());
+    suspicion.connection_broken(Instant(3_000), &"a".into());
     assert_eq!(
-        suspicion.end(Instant(3_600), &"a".into(), &pulse),
+        suspicion.evidence(Instant(3_600), &"a".into(), &pulse),
         Some(Evidence::Refuses),
         "nobody listens, and what was under way there broke off"
     );
@@ -134,14 +138,17 @@
 fn a_server_that_refuses_new_connections_has_not_ended_by_that() {
     let mut suspicion = Suspicion::default();
     let mut pulse = beaten(9_000);
-    suspicion.accuse(Instant(1_500), &"a".into());
-    suspicion.refused(&"a".into());
+    suspicion.suspect(Instant(1_500), &"a".into());
+    suspicion.set_refusing(&"a".into());
     pulse.answered(Instant(8_900));
 
-    assert_eq!(suspicion.end(Instant(9_000), &"a".into(), &pulse), None);
-    suspicion.broke(Instant(900), &"a".into());
     assert_eq!(
-        suspicion.end(Instant(9_000), &"a".into(), &pulse),
+        suspicion.evidence(Instant(9_000), &"a".into(), &pulse),
+        None
+    );
+    suspicion.connection_broken(Instant(900), &"a".into());
+    assert_eq!(
+        suspicion.evidence(Instant(9_000), &"a".into(), &pulse),
         None,
         "what broke off before it refused says nothing of it"
     );
@@ -153,9 +160,9 @@
     let (mut suspicion, mut roster) = (Suspicion::default(), Roster::default());
     let id = Incarnation::from("a");
     roster.seen(Instant(0), server("a", State::Draining));
-    suspicion.accuse(Instant(3_000), &id);
-    suspicion.refused(&id);
-    suspicion.broke(Instant(3_100), &id);
+    suspicion.suspect(Instant(3_000), &id);
+    suspicion.set_refusing(&id);
+    suspicion.connection_broken(Instant(3_100), &id);
     let believed =
         |roster: &Roster| Liveness::assess(&id, Instant(9_000), roster, &suspicion, &beaten(9_000));
 
@@ -174,7 +181,7 @@
     for id in ["leaver", "dead"] {
         roster.seen(Instant(0), server(id, State::Ready));
     }
-    suspicion.accuse(Instant(1_000), &"dead".into());
+    suspicion.suspect(Instant(1_000), &"dead".into());
     let mut pulse = beaten(5_000);
     pulse.answered(Instant(1_000));
 
@@ -197,11 +204,19 @@
 fn a_server_that_is_silent_to_a_process_on_time_has_ended_after_half_a_second() {
     let mut suspicion = Suspicion::default();
     let mut pulse = beaten(2_000);
-    suspicion.accuse(Instant(1_500), &"a".into());
+    suspicion.suspect(Instant(1_500), &"a".into());
     pulse.answered(Instant(1_700));
 
-    assert!(suspicion.end(Instant(1_999), &"a".into(), &pulse).is_none());
-    assert!(suspicion.end(Instant(2_000), &"a".into(), &pulse).is_some());
+    assert!(
+        suspicion
+            .evidence(Instant(1_999), &"a".into(), &pulse)
+            .is_none()
+    );
+    assert!(
+        suspicion
+            .evidence(Instant(2_000), &"a".into(), &pulse)
+            .is_some()
+    );
 }
 
 /// Callers' requests ran on three servers of a route that allows two, all of them alive.
@@ -214,11 +229,19 @@
     let mut suspicion = Suspicion::default();
     let mut pulse = beaten(3_000);
     pulse.answered(Instant(1_400));
-    suspicion.accuse(Instant(1_500), &"a".into());
+    suspicion.suspect(Instant(1_500), &"a".into());
 
-    assert!(suspicion.end(Instant(3_000), &"a".into(), &pulse).is_none());
+    assert!(
+        suspicion
+            .evidence(Instant(3_000), &"a".into(), &pulse)
+            .is_none()
+    );
     pulse.answered(Instant(2_900));
-    assert!(suspicion.end(Instant(3_000), &"a".into(), &pulse).is_some());
+    assert!(
+        suspicion
+            .evidence(Instant(3_000), &"a".into(), &pulse)
+            .is_some()
+    );
 }
 
 /// A hundred entries ask a server that they all suspect about as often as a single one would.
@@ -229,8 +252,8 @@
 fn many_entries_ask_a_suspect_no_more_often_than_one() {
     let asked = |others: u64| {
         let mut suspicion = Suspicion::default();
-        suspicion.accuse(Instant(0), &"a".into());
-        suspicion.set_told(Instant(1), [("a".into(), others)].into());
+        suspicion.suspect(Instant(0), &"a".into());
+        suspicion.set_peer_reports(Instant(1), [("a".into(), others)].into());
         let times = (0..60_000).filter(|now| !suspicion.due(Instant(*now)).is_empty());
         times.count() as u64
     };
@@ -245,12 +268,12 @@
 #[test]
 fn a_suspect_that_others_trust_again_is_asked_at_once() {
     let mut suspicion = Suspicion::default();
-    suspicion.accuse(Instant(0), &"a".into());
-    suspicion.set_told(Instant(1), [("a".into(), 50)].into());
+    suspicion.suspect(Instant(0), &"a".into());
+    suspicion.set_peer_reports(Instant(1), [("a".into(), 50)].into());
     suspicion.due(Instant(200));
     assert!(suspicion.due(Instant(3_000)).is_empty());
 
-    suspicion.set_told(Instant(3_000), BTreeMap::new());
+    suspicion.set_peer_reports(Instant(3_000), BTreeMap::new());
 
     assert_eq!(suspicion.due(Instant(3_000)), vec!["a".into()]);
 }
@@ -258,7 +281,7 @@
 #[test]
 fn a_suspect_is_asked_less_and_less_often() {
     let mut suspicion = Suspicion::default();
-    suspicion.accuse(Instant(0), &"a".into());
+    suspicion.suspect(Instant(0), &"a".into());
 
     let asked = (0..10_000).filter(|now| !suspicion.due(Instant(*now)).is_empty());
 
@@ -270,15 +293,15 @@
 fn silence_that_nobody_else_meets_gives_up_no_layers_at_once() {
     let mut suspicion = Suspicion::default();
     let mut pulse = Pulse::new(Span(25));
-    suspicion.accuse(Instant(0), &"a".into());
+    suspicion.suspect(Instant(0), &"a".into());
     pulse.answered(Instant(10));
     pulse.beat(Instant(1_000));
 
-    assert!(!suspicion.is_given_up(Instant(1_000), &"a".into(), &pulse));
-    suspicion.set_told(Instant(1_000), BTreeMap::from([("a".into(), 1)]));
+    assert!(!suspicion.is_replaceable(Instant(1_000), &"a".into(), &pulse));
+    suspicion.set_peer_reports(Instant(1_000), BTreeMap::from([("a".into(), 1)]));
 
     assert!(
-        !suspicion.is_given_up(Instant(1_000), &"a".into(), &pulse),
+        !suspicion.is_replaceable(Instant(1_000), &"a".into(), &pulse),
         "late itself"
     );
     let mut pulse = Pulse::new(Span(25));
@@ -286,7 +309,7 @@
     for beat in 0..=40 {
         pulse.beat(Instant(beat * 25));
     }
-    assert!(suspicion.is_given_up(Instant(1_000), &"a".into(), &pulse));
+    assert!(suspicion.is_replaceable(Instant(1_000), &"a".into(), &pulse));
 }
 
 /// Guards against layers that stay without a holder because only one entry uses them.
@@ -294,12 +317,12 @@
 fn silence_that_lasts_gives_up_layers_also_on_one_entrys_word() {
     let mut suspicion = Suspicion::default();
     let mut pulse = Pulse::new(Span(25));
-    suspicion.accuse(Instant(0), &"a".into());
+    suspicion.suspect(Instant(0), &"a".into());
     pulse.answered(Instant(10));
     for beat in 0..=80 {
         pulse.beat(Instant(beat * 25));
     }
 
-    assert!(!suspicion.is_given_up(Instant(1_999), &"a".into(), &pulse));
-    assert!(suspicion.is_given_up(Instant(2_000), &"a".into(), &pulse));
+    assert!(!suspicion.is_replaceable(Instant(1_999), &"a".into(), &pulse));
+    assert!(suspicion.is_replaceable(Instant(2_000), &"a".into(), &pulse));
 }
--- a/crates/core/tests/incarnations.rs
+++ b/crates/core/tests/incarnations.rs
@@ -194,7 +194,7 @@
     load.reported(now, &earlier, 5.0);
     load.refusals.refused(now, &earlier);
     load.backlog.add(now, &earlier, 400.0);
-    suspicion.accuse(now, &earlier);
+    suspicion.suspect(now, &earlier);
     for _ in 0..5 {
         outliers.failed(now, &earlier);
     }
@@ -204,7 +204,7 @@
     assert_eq!(load.slowness(now, &later), 1.0);
     assert!(!load.refusals.holds(now, &later));
     assert_eq!(load.backlog.wait_ms(now, &later), 0.0);
-    assert!(!suspicion.holds(&later));
+    assert!(!suspicion.is_suspected(&later));
     assert!(!outliers.holds(&later));
     assert!(
         outliers.holds(&earlier),
--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -116,7 +116,7 @@
     let old = old.path;
     let dead = old.parts()[1].server.clone();
     let mut suspicion = Suspicion::default();
-    suspicion.accuse(NOW, &dead);
+    suspicion.suspect(NOW, &dead);
     let mut draws = StdRng::seed_from_u64(7);
     let mut reading = BTreeMap::new();
     for _ in 0..ENTRIES {
@@ -176,7 +176,7 @@
     let calm = suspicion.clone();
     let old = fleet.choose(NEED, &view(&load, &calm, &home)).unwrap().path;
     let last = old.parts().last().unwrap().server.clone();
-    suspicion.accuse(NOW, &last);
+    suspicion.suspect(NOW, &last);
 
     let chosen = fleet.go_on(NEED, &view(&load, &suspicion, &home), &old, true);
 
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -124,14 +124,14 @@
     let all = fleet.nodes.iter().map(|node| (node.server.clone(), 1));
     let first = &before.parts()[0].server;
 
-    world.suspicion.set_told(Instant(0), all.collect());
-    assert!(!world.suspicion.is_doubted(first));
+    world.suspicion.set_peer_reports(Instant(0), all.collect());
+    assert!(!world.suspicion.is_widely_suspected(first));
     assert_eq!(fleet.choose(NEED, &world.view(&home)).unwrap().path, before);
 
     world
         .suspicion
-        .set_told(Instant(0), [(first.clone(), 2)].into());
-    assert!(world.suspicion.is_doubted(first));
+        .set_peer_reports(Instant(0), [(first.clone(), 2)].into());
+    assert!(world.suspicion.is_widely_suspected(first));
     assert!(
         !fleet
             .choose(NEED, &world.view(&home))
@@ -173,7 +173,7 @@
 
     for part in first.path.parts() {
         let mut world = World::default();
-        world.suspicion.accuse(Instant(0), &part.server);
+        world.suspicion.suspect(Instant(0), &part.server);
         let choice = fleet.choose(NEED, &world.view(&home)).unwrap();
         assert!(!choice.path.passes(&part.server));
         assert!(!choice.is_forced());
@@ -221,7 +221,7 @@
     let parts = first.path.parts();
     for dead in &parts[1..] {
         let mut world = World::default();
-        world.suspicion.accuse(Instant(0), &dead.server);
+        world.suspicion.suspect(Instant(0), &dead.server);
 
         let repaired = fleet.repair(NEED, &world.view(&home), &first.path);
 
--- a/crates/core/tests/third_server.rs
+++ b/crates/core/tests/third_server.rs
@@ -172,7 +172,7 @@
             64..=67 if !truth.is_unheard => self.break_runs(&id, None),
             // It is suspected for no reason.
             68..=73 => {
-                self.suspicion.accuse(self.now, &id);
+                self.suspicion.suspect(self.now, &id);
             }
             // Its registration goes, and comes back, though it lives. That of one that drains goes when it exits.
             74..=75 if !truth.is_draining => {
@@ -205,15 +205,15 @@
         let now = ended.unwrap_or(self.now);
         // It is asked at once, and suspected if it does not answer.
         if self.truths[id].is_refusing {
-            self.suspicion.accuse(now, id);
-            self.suspicion.refused(id);
+            self.suspicion.suspect(now, id);
+            self.suspicion.set_refusing(id);
         }
         for request in &mut self.requests {
             let runs = request.runs.iter_mut();
             for run in runs.filter(|run| run.server == *id && run.ended.is_none()) {
                 run.ended = Some(now);
                 request.attempts.lost(now, id);
-                self.suspicion.broke(now, id);
+                self.suspicion.connection_broken(now, id);
             }
         }
     }
@@ -246,7 +246,7 @@
                 Truth { is_dark: true, .. } => {}
                 Truth {
                     is_refusing: true, ..
-                } => self.suspicion.refused(&id),
+                } => self.suspicion.set_refusing(&id),
                 _ if was_late => {}
                 _ => {
                     self.suspicion.clear(&id);
@@ -266,7 +266,7 @@
             .map(|run| run.server.clone());
         let choice: f64 = self.random.random();
         if let Some(id) = &running {
-            let is_found_dead = self.suspicion.holds(id) && self.truths[id].is_dark;
+            let is_found_dead = self.suspicion.is_suspected(id) && self.truths[id].is_dark;
             if !is_found_dead && choice > 0.01 {
                 return;
             }
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -138,7 +138,7 @@
     let now = clock::now();
     let address = state.settings.gossip;
     let token = state.leadership.own();
-    let suspects = suspicion.names().map(|server| (server.clone(), 1));
+    let suspects = suspicion.suspects().map(|server| (server.clone(), 1));
     let ordered = state.ordered.borrow();
     let ordered = ordered.iter().filter(|_| token.is_some());
     Summary {
@@ -239,7 +239,7 @@
         learn_held(state, &server, layers);
     }
     let mut suspicion = state.suspicion.borrow_mut();
-    let doubted = suspicion.set_told(now, others.suspects);
+    let doubted = suspicion.set_peer_reports(now, others.suspects);
     drop(suspicion);
     for server in doubted {
         ask(state, server);
@@ -262,7 +262,7 @@
 /// death was a hundred questions and connections at once, and each false alarm as many.
 fn ask<D: Dialect>(state: &Rc<State<D>>, server: Incarnation) {
     let is_used = state.load.borrow().has_own(&server);
-    if !is_used || state.suspicion.borrow().holds(&server) {
+    if !is_used || state.suspicion.borrow().is_suspected(&server) {
         return;
     }
     if let Some(address) = state.address(&server) {
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -306,7 +306,8 @@
         });
         let suspicion = self.state.suspicion.borrow();
         let pulse = self.state.pulse.borrow();
-        let trusted = holders.filter(|holder| !suspicion.is_given_up(now, &holder.server, &pulse));
+        let trusted =
+            holders.filter(|holder| !suspicion.is_replaceable(now, &holder.server, &pulse));
         let is_away = roster.is_store_away();
         let staying = trusted.filter(|holder| {
             let is_leaving = load.refusals.is_leaving(now, &holder.server);
--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -215,7 +215,7 @@
 fn note_refusal<D>(state: &State<D>, server: &Incarnation, error: &anyhow::Error) {
     let error = error.downcast_ref::<io::Error>();
     if error.is_some_and(|error| error.kind() == io::ErrorKind::ConnectionRefused) {
-        state.suspicion.borrow_mut().refused(server);
+        state.suspicion.borrow_mut().set_refusing(server);
     }
 }
 
@@ -283,7 +283,7 @@
     let roster = state.roster.borrow();
     let trusted = roster
         .usable()
-        .filter(|server| !suspicion.holds(&server.incarnation));
+        .filter(|server| !suspicion.is_suspected(&server.incarnation));
     let witness = trusted.min_by_key(|_| rand::random::<u32>());
     if let Some(witness) = witness {
         let (server, address) = (witness.incarnation.clone(), witness.address);
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -224,7 +224,7 @@
     let is_sound = |path: &Path| {
         let suspicion = state.suspicion.borrow();
         let mut servers = path.parts().iter().map(|part| &part.server);
-        servers.all(|server| !suspicion.holds(server) && !avoid.contains(server))
+        servers.all(|server| !suspicion.is_suspected(server) && !avoid.contains(server))
     };
     if let Some(path) = planned.filter(is_sound) {
         return Some(path);
@@ -292,7 +292,10 @@
     let now = clock::now();
     state.failed(&first.server);
     if loss == Loss::Broken {
-        state.suspicion.borrow_mut().broke(now, &first.server);
+        state
+            .suspicion
+            .borrow_mut()
+            .connection_broken(now, &first.server);
     }
     let mut attempts = stream.attempts.borrow_mut();
     match loss {
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -241,7 +241,7 @@
 /// died, the stream's own connection would have broken. Given up for the refusal, runs that would have ended well
 /// are paid for twice, and their requests run on one more server.
 fn is_only_refusing<D>(state: &State<D>, stream: &Stream, first: &Part) -> bool {
-    let refuses = state.suspicion.borrow().refuses(&first.server);
+    let refuses = state.suspicion.borrow().is_refusing(&first.server);
     refuses && !is_overdue(stream, clock::now())
 }
 
--- a/crates/front/src/whole.rs
+++ b/crates/front/src/whole.rs
@@ -300,8 +300,8 @@
         let home = &self.state.settings.zone;
         let record = |server: &&Server| {
             let name = &server.incarnation;
-            let is_avoided = outliers.holds(name) || suspicion.is_doubted(name);
-            (suspicion.holds(name), is_avoided)
+            let is_avoided = outliers.holds(name) || suspicion.is_widely_suspected(name);
+            (suspicion.is_suspected(name), is_avoided)
         };
         let mut usable: Vec<&Server> = roster
             .usable()
@@ -314,7 +314,7 @@
         let chosen = usable.into_iter().take(DRAWN).min_by_key(|server| {
             let away = server.zone != *home;
             let name = &server.incarnation;
-            (load.requests(name), suspicion.told(name) > 0, away)
+            (load.requests(name), suspicion.peer_reports(name) > 0, away)
         });
         chosen.cloned()
     }
