--- a/crates/core/src/pipeline/liveness.rs
+++ b/crates/core/src/pipeline/liveness.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::pipeline::pulse::Pulse;
+use crate::pipeline::local_health::LocalHealth;
 use crate::pipeline::roster::Roster;
 use crate::pipeline::server::Incarnation;
 use crate::pipeline::suspicion::Suspicion;
@@ -43,13 +43,13 @@
     /// ```
     /// # use jujube_core::pipeline::liveness::Liveness;
     /// # use jujube_core::pipeline::liveness::Evidence;
-    /// # use jujube_core::pipeline::pulse::Pulse;
+    /// # use jujube_core::pipeline::local_health::LocalHealth;
     /// # use jujube_core::pipeline::roster::Roster;
     /// # use jujube_core::pipeline::suspicion::Suspicion;
     /// # use jujube_core::time::Instant;
     /// # use jujube_core::time::Span;
-    /// let (suspicion, pulse) = (Suspicion::default(), Pulse::new(Span(25)));
-    /// let liveness = Liveness::assess(&"a".into(), Instant(0), &Roster::default(), &suspicion, &pulse);
+    /// let (suspicion, local_health) = (Suspicion::default(), LocalHealth::new(Span(25)));
+    /// let liveness = Liveness::assess(&"a".into(), Instant(0), &Roster::default(), &suspicion, &local_health);
     /// assert_eq!(liveness, Liveness::Ended(Evidence::Unregistered));
     /// ```
     #[must_use]
@@ -58,7 +58,7 @@
         now: Instant,
         roster: &Roster,
         suspicion: &Suspicion,
-        pulse: &Pulse,
+        local_health: &LocalHealth,
     ) -> Self {
         if roster.get(server).is_none() {
             return match roster.may_linger(server) {
@@ -66,7 +66,7 @@
                 false => Self::Ended(Evidence::Unregistered),
             };
         }
-        match suspicion.evidence(now, server, pulse) {
+        match suspicion.evidence(now, server, local_health) {
             Some(Evidence::Refuses) if roster.is_draining(server) => Self::Suspected,
             Some(end) => Self::Ended(end),
             None if suspicion.is_suspected(server) => Self::Suspected,
--- a/crates/core/src/pipeline/pulse.rs
+++ b/crates/core/src/pipeline/local_health.rs
@@ -19,24 +19,24 @@
 /// # Examples
 ///
 /// ```
-/// # use jujube_core::pipeline::pulse::Pulse;
+/// # use jujube_core::pipeline::local_health::LocalHealth;
 /// # use jujube_core::time::Instant;
 /// # use jujube_core::time::Span;
-/// let mut pulse = Pulse::new(Span(25));
-/// pulse.beat(Instant(25));
-/// pulse.beat(Instant(52));
-/// assert!(!pulse.was_late(Instant(0), Instant(60)));
-/// assert!(pulse.was_late(Instant(0), Instant(500)), "the next beat is overdue");
-/// pulse.beat(Instant(500));
-/// assert!(pulse.was_late(Instant(400), Instant(510)));
-/// assert!(!pulse.was_late(Instant(505), Instant(510)));
+/// let mut local_health = LocalHealth::new(Span(25));
+/// local_health.tick(Instant(25));
+/// local_health.tick(Instant(52));
+/// assert!(!local_health.was_delayed(Instant(0), Instant(60)));
+/// assert!(local_health.was_delayed(Instant(0), Instant(500)), "the next beat is overdue");
+/// local_health.tick(Instant(500));
+/// assert!(local_health.was_delayed(Instant(400), Instant(510)));
+/// assert!(!local_health.was_delayed(Instant(505), Instant(510)));
 ///
-/// pulse.answered(Instant(520));
-/// assert!(pulse.was_in_touch(Instant(520)));
-/// assert!(!pulse.was_in_touch(Instant(521)));
+/// local_health.record_answer(Instant(520));
+/// assert!(local_health.was_connected(Instant(520)));
+/// assert!(!local_health.was_connected(Instant(521)));
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Pulse {
+pub struct LocalHealth {
     pace: Span,
     last: Instant,
     /// When a late beat came.
@@ -45,8 +45,8 @@
     answered: Option<Instant>,
 }
 
-impl Pulse {
-    /// Returns a pulse that is to beat at a pace.
+impl LocalHealth {
+    /// Returns a local_health that is to beat at a pace.
     #[must_use]
     pub fn new(pace: Span) -> Self {
         Self {
@@ -58,7 +58,7 @@
     }
 
     /// Takes a beat.
-    pub fn beat(&mut self, now: Instant) {
+    pub fn tick(&mut self, now: Instant) {
         if self.is_overdue(now) {
             self.late = Some(now);
         }
@@ -67,18 +67,18 @@
 
     /// Tells whether a beat was late since a time, or is overdue now.
     #[must_use]
-    pub fn was_late(&self, since: Instant, now: Instant) -> bool {
+    pub fn was_delayed(&self, since: Instant, now: Instant) -> bool {
         self.is_overdue(now) || self.late.is_some_and(|late| late >= since)
     }
 
     /// Takes that some server promptly answered a question asked at a time.
-    pub fn answered(&mut self, asked: Instant) {
+    pub fn record_answer(&mut self, asked: Instant) {
         self.answered = self.answered.max(Some(asked));
     }
 
     /// Tells whether some server promptly answered a question that was asked since a time.
     #[must_use]
-    pub fn was_in_touch(&self, since: Instant) -> bool {
+    pub fn was_connected(&self, since: Instant) -> bool {
         self.answered.is_some_and(|asked| asked >= since)
     }
 
--- a/crates/core/src/pipeline/roster.rs
+++ b/crates/core/src/pipeline/roster.rs
@@ -5,7 +5,7 @@
 
 use crate::layer::Range;
 use crate::name::Server as Name;
-use crate::pipeline::pulse::Pulse;
+use crate::pipeline::local_health::LocalHealth;
 use crate::pipeline::server::Incarnation;
 use crate::pipeline::server::Server;
 use crate::pipeline::server::State;
@@ -287,8 +287,9 @@
     }
 
     /// Takes who is suspected: those that count as ended and whose registration went died, and did not leave.
-    pub fn tell_dead(&mut self, now: Instant, suspicion: &Suspicion, pulse: &Pulse) {
-        let has_ended = |server: &Incarnation| suspicion.evidence(now, server, pulse).is_some();
+    pub fn tell_dead(&mut self, now: Instant, suspicion: &Suspicion, local_health: &LocalHealth) {
+        let has_ended =
+            |server: &Incarnation| suspicion.evidence(now, server, local_health).is_some();
         for (incarnation, departure) in &mut self.departed {
             departure.is_final |= has_ended(incarnation);
         }
--- a/crates/core/src/pipeline/suspicion.rs
+++ b/crates/core/src/pipeline/suspicion.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::pipeline::liveness::Evidence;
-use crate::pipeline::pulse::Pulse;
+use crate::pipeline::local_health::LocalHealth;
 use crate::pipeline::server::Incarnation;
 use crate::time::Instant;
 use crate::time::Span;
@@ -165,7 +165,12 @@
     /// new connections seconds before it exits and serves on those that it has: what only refuses may live. The
     /// connections of one that died have all ended.
     #[must_use]
-    pub fn evidence(&self, now: Instant, server: &Incarnation, pulse: &Pulse) -> Option<Evidence> {
+    pub fn evidence(
+        &self,
+        now: Instant,
+        server: &Incarnation,
+        local_health: &LocalHealth,
+    ) -> Option<Evidence> {
         let suspect = self.suspects.get(server)?;
         if now.since(suspect.since) < ENDED {
             return None;
@@ -175,7 +180,8 @@
             let broke = self.broken.get(server).is_some_and(|broke| *broke >= asked);
             return broke.then_some(Evidence::Refuses);
         }
-        let was_sound = !pulse.was_late(asked, now) && pulse.was_in_touch(suspect.since);
+        let was_sound =
+            !local_health.was_delayed(asked, now) && local_health.was_connected(suspect.since);
         was_sound.then_some(Evidence::Silent)
     }
 
@@ -189,20 +195,25 @@
     /// # Examples
     ///
     /// ```
-    /// # use jujube_core::pipeline::pulse::Pulse;
+    /// # use jujube_core::pipeline::local_health::LocalHealth;
     /// # use jujube_core::pipeline::suspicion::REPLACE_AFTER;
     /// # use jujube_core::pipeline::suspicion::Suspicion;
     /// # use jujube_core::time::Instant;
     /// # use jujube_core::time::Span;
     /// let mut suspicion = Suspicion::default();
     /// suspicion.suspect(Instant(0), &"a".into());
-    /// let (pulse, now) = (Pulse::new(Span(25)), Instant(0).plus(REPLACE_AFTER));
-    /// assert!(!suspicion.is_replaceable(now, &"a".into(), &pulse));
+    /// let (local_health, now) = (LocalHealth::new(Span(25)), Instant(0).plus(REPLACE_AFTER));
+    /// assert!(!suspicion.is_replaceable(now, &"a".into(), &local_health));
     /// suspicion.set_refusing(&"a".into());
-    /// assert!(suspicion.is_replaceable(now, &"a".into(), &pulse));
+    /// assert!(suspicion.is_replaceable(now, &"a".into(), &local_health));
     /// ```
     #[must_use]
-    pub fn is_replaceable(&self, now: Instant, server: &Incarnation, pulse: &Pulse) -> bool {
+    pub fn is_replaceable(
+        &self,
+        now: Instant,
+        server: &Incarnation,
+        local_health: &LocalHealth,
+    ) -> bool {
         let Some(suspect) = self.suspects.get(server) else {
             return false;
         };
@@ -210,7 +221,7 @@
         if suspect.is_absent {
             return lasts >= REPLACE_AFTER;
         }
-        let is_silent = self.evidence(now, server, pulse).is_some();
+        let is_silent = self.evidence(now, server, local_health).is_some();
         let is_shared = self.peer_reports(server) > 0;
         is_silent
             && lasts
--- a/crates/core/tests/belief.rs
+++ b/crates/core/tests/belief.rs
@@ -9,7 +9,7 @@
 use jujube_core::pipeline::attempts::Permission;
 use jujube_core::pipeline::liveness::Evidence;
 use jujube_core::pipeline::liveness::Liveness;
-use jujube_core::pipeline::pulse::Pulse;
+use jujube_core::pipeline::local_health::LocalHealth;
 use jujube_core::pipeline::roster::Roster;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::server::State;
@@ -92,12 +92,12 @@
     assert_eq!(attempts.outlook(2, alive), Permission::Denied);
 }
 
-fn beaten(until: u64) -> Pulse {
-    let mut pulse = Pulse::new(Span(25));
+fn beaten(until: u64) -> LocalHealth {
+    let mut local_health = LocalHealth::new(Span(25));
     for now in (25..=until).step_by(25) {
-        pulse.beat(Instant(now));
+        local_health.tick(Instant(now));
     }
-    pulse
+    local_health
 }
 
 /// Callers' requests ran on three servers of a route that allows two, all of them alive.
@@ -109,22 +109,22 @@
 #[test]
 fn a_server_that_is_silent_to_a_late_process_has_not_ended() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = beaten(1_000);
-    pulse.beat(Instant(3_000));
+    let mut local_health = beaten(1_000);
+    local_health.tick(Instant(3_000));
     suspicion.suspect(Instant(3_010), &"a".into());
     for now in (3_025..3_600).step_by(25) {
-        pulse.beat(Instant(now));
+        local_health.tick(Instant(now));
     }
 
     assert!(
         suspicion
-            .evidence(Instant(3_600), &"a".into(), &pulse)
+            .evidence(Instant(3_600), &"a".into(), &local_health)
             .is_none()
     );
     suspicion.set_refusing(&"a".into());
     suspicion.connection_broken(Instant(3_000), &"a".into());
     assert_eq!(
-        suspicion.evidence(Instant(3_600), &"a".into(), &pulse),
+        suspicion.evidence(Instant(3_600), &"a".into(), &local_health),
         Some(Evidence::Refuses),
         "nobody listens, and what was under way there broke off"
     );
@@ -137,18 +137,18 @@
 #[test]
 fn a_server_that_refuses_new_connections_has_not_ended_by_that() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = beaten(9_000);
+    let mut local_health = beaten(9_000);
     suspicion.suspect(Instant(1_500), &"a".into());
     suspicion.set_refusing(&"a".into());
-    pulse.answered(Instant(8_900));
+    local_health.record_answer(Instant(8_900));
 
     assert_eq!(
-        suspicion.evidence(Instant(9_000), &"a".into(), &pulse),
+        suspicion.evidence(Instant(9_000), &"a".into(), &local_health),
         None
     );
     suspicion.connection_broken(Instant(900), &"a".into());
     assert_eq!(
-        suspicion.evidence(Instant(9_000), &"a".into(), &pulse),
+        suspicion.evidence(Instant(9_000), &"a".into(), &local_health),
         None,
         "what broke off before it refused says nothing of it"
     );
@@ -182,16 +182,23 @@
         roster.seen(Instant(0), server(id, State::Ready));
     }
     suspicion.suspect(Instant(1_000), &"dead".into());
-    let mut pulse = beaten(5_000);
-    pulse.answered(Instant(1_000));
+    let mut local_health = beaten(5_000);
+    local_health.record_answer(Instant(1_000));
 
     for id in ["leaver", "dead"] {
         roster.removed(Instant(4_000), &id.into());
     }
-    roster.tell_dead(Instant(4_980), &suspicion, &pulse);
-
-    let believed =
-        |id: &str| Liveness::assess(&id.into(), Instant(5_000), &roster, &suspicion, &pulse);
+    roster.tell_dead(Instant(4_980), &suspicion, &local_health);
+
+    let believed = |id: &str| {
+        Liveness::assess(
+            &id.into(),
+            Instant(5_000),
+            &roster,
+            &suspicion,
+            &local_health,
+        )
+    };
     assert_eq!(believed("leaver"), Liveness::Alive);
     assert_eq!(believed("dead"), Liveness::Ended(Evidence::Unregistered));
     assert_eq!(
@@ -203,18 +210,18 @@
 #[test]
 fn a_server_that_is_silent_to_a_process_on_time_has_ended_after_half_a_second() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = beaten(2_000);
+    let mut local_health = beaten(2_000);
     suspicion.suspect(Instant(1_500), &"a".into());
-    pulse.answered(Instant(1_700));
+    local_health.record_answer(Instant(1_700));
 
     assert!(
         suspicion
-            .evidence(Instant(1_999), &"a".into(), &pulse)
+            .evidence(Instant(1_999), &"a".into(), &local_health)
             .is_none()
     );
     assert!(
         suspicion
-            .evidence(Instant(2_000), &"a".into(), &pulse)
+            .evidence(Instant(2_000), &"a".into(), &local_health)
             .is_some()
     );
 }
@@ -227,19 +234,19 @@
 #[test]
 fn a_server_that_is_silent_while_nobody_answers_has_not_ended() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = beaten(3_000);
-    pulse.answered(Instant(1_400));
+    let mut local_health = beaten(3_000);
+    local_health.record_answer(Instant(1_400));
     suspicion.suspect(Instant(1_500), &"a".into());
 
     assert!(
         suspicion
-            .evidence(Instant(3_000), &"a".into(), &pulse)
+            .evidence(Instant(3_000), &"a".into(), &local_health)
             .is_none()
     );
-    pulse.answered(Instant(2_900));
+    local_health.record_answer(Instant(2_900));
     assert!(
         suspicion
-            .evidence(Instant(3_000), &"a".into(), &pulse)
+            .evidence(Instant(3_000), &"a".into(), &local_health)
             .is_some()
     );
 }
@@ -292,37 +299,37 @@
 #[test]
 fn silence_that_nobody_else_meets_gives_up_no_layers_at_once() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = Pulse::new(Span(25));
+    let mut local_health = LocalHealth::new(Span(25));
     suspicion.suspect(Instant(0), &"a".into());
-    pulse.answered(Instant(10));
-    pulse.beat(Instant(1_000));
+    local_health.record_answer(Instant(10));
+    local_health.tick(Instant(1_000));
 
-    assert!(!suspicion.is_replaceable(Instant(1_000), &"a".into(), &pulse));
+    assert!(!suspicion.is_replaceable(Instant(1_000), &"a".into(), &local_health));
     suspicion.set_peer_reports(Instant(1_000), BTreeMap::from([("a".into(), 1)]));
 
     assert!(
-        !suspicion.is_replaceable(Instant(1_000), &"a".into(), &pulse),
+        !suspicion.is_replaceable(Instant(1_000), &"a".into(), &local_health),
         "late itself"
     );
-    let mut pulse = Pulse::new(Span(25));
-    pulse.answered(Instant(10));
+    let mut local_health = LocalHealth::new(Span(25));
+    local_health.record_answer(Instant(10));
     for beat in 0..=40 {
-        pulse.beat(Instant(beat * 25));
+        local_health.tick(Instant(beat * 25));
     }
-    assert!(suspicion.is_replaceable(Instant(1_000), &"a".into(), &pulse));
+    assert!(suspicion.is_replaceable(Instant(1_000), &"a".into(), &local_health));
 }
 
 /// Guards against layers that stay without a holder because only one entry uses them.
 #[test]
 fn silence_that_lasts_gives_up_layers_also_on_one_entrys_word() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = Pulse::new(Span(25));
+    let mut local_health = LocalHealth::new(Span(25));
     suspicion.suspect(Instant(0), &"a".into());
-    pulse.answered(Instant(10));
+    local_health.record_answer(Instant(10));
     for beat in 0..=80 {
-        pulse.beat(Instant(beat * 25));
+        local_health.tick(Instant(beat * 25));
     }
 
-    assert!(!suspicion.is_replaceable(Instant(1_999), &"a".into(), &pulse));
-    assert!(suspicion.is_replaceable(Instant(2_000), &"a".into(), &pulse));
+    assert!(!suspicion.is_replaceable(Instant(1_999), &"a".into(), &local_health));
+    assert!(suspicion.is_replaceable(Instant(2_000), &"a".into(), &local_health));
 }
--- a/crates/core/tests/third_server.rs
+++ b/crates/core/tests/third_server.rs
@@ -11,7 +11,7 @@
 use jujube_core::pipeline::attempts::Attempts;
 use jujube_core::pipeline::attempts::Permission;
 use jujube_core::pipeline::liveness::Liveness;
-use jujube_core::pipeline::pulse::Pulse;
+use jujube_core::pipeline::local_health::LocalHealth;
 use jujube_core::pipeline::roster::Roster;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::server::State;
@@ -64,7 +64,7 @@
     truths: BTreeMap<Incarnation, Truth>,
     roster: Roster,
     suspicion: Suspicion,
-    pulse: Pulse,
+    local_health: LocalHealth,
     requests: Vec<Request>,
     joined: u64,
     /// Runs beyond the limit that were allowed since a server had ended.
@@ -79,7 +79,7 @@
             truths: BTreeMap::new(),
             roster: Roster::default(),
             suspicion: Suspicion::default(),
-            pulse: Pulse::new(Span(STEP)),
+            local_health: LocalHealth::new(Span(STEP)),
             requests: Vec::new(),
             joined: 0,
             excused: 0,
@@ -118,14 +118,14 @@
         if self.is(0.01) {
             self.now = self.later(2_000);
         }
-        self.pulse.beat(self.now);
+        self.local_health.tick(self.now);
         self.trouble();
         self.exits();
         self.ask();
         for number in 0..self.requests.len() {
-            let (suspicion, pulse, now) = (&self.suspicion, &self.pulse, self.now);
+            let (suspicion, local_health, now) = (&self.suspicion, &self.local_health, self.now);
             let belief =
-                |id: &Incarnation| Liveness::assess(id, now, &self.roster, suspicion, pulse);
+                |id: &Incarnation| Liveness::assess(id, now, &self.roster, suspicion, local_health);
             self.requests[number].attempts.settle(now, belief);
             self.advance(number);
         }
@@ -178,7 +178,7 @@
             74..=75 if !truth.is_draining => {
                 self.roster.removed(self.now, &id.server);
                 self.roster
-                    .tell_dead(self.now, &self.suspicion, &self.pulse);
+                    .tell_dead(self.now, &self.suspicion, &self.local_health);
             }
             76..=79 if truth.exits.is_none() => {
                 self.roster.seen(self.now, server(id, State::Ready));
@@ -229,7 +229,7 @@
             if truth.unregisters.is_some_and(|at| at <= self.now) {
                 self.roster.removed(self.now, &id.server);
                 self.roster
-                    .tell_dead(self.now, &self.suspicion, &self.pulse);
+                    .tell_dead(self.now, &self.suspicion, &self.local_health);
                 let roster = &self.roster;
                 self.suspicion.retain(|id| roster.get(id).is_some());
             }
@@ -239,7 +239,9 @@
 
     /// The entry asks suspects; all but the dark ones answer or refuse.
     fn ask(&mut self) {
-        let was_late = self.pulse.was_late(Instant(self.now.0 - 200), self.now);
+        let was_late = self
+            .local_health
+            .was_delayed(Instant(self.now.0 - 200), self.now);
         for id in self.suspicion.due(self.now) {
             let truth = self.truths[&id];
             match truth {
@@ -254,7 +256,7 @@
             }
         }
         if !was_late {
-            self.pulse.answered(self.now);
+            self.local_health.record_answer(self.now);
         }
     }
 
@@ -292,9 +294,10 @@
     }
 
     fn outlook(&self, number: usize) -> Permission {
-        let (suspicion, pulse) = (&self.suspicion, &self.pulse);
-        let belief =
-            |id: &Incarnation| Liveness::assess(id, self.now, &self.roster, suspicion, pulse);
+        let (suspicion, local_health) = (&self.suspicion, &self.local_health);
+        let belief = |id: &Incarnation| {
+            Liveness::assess(id, self.now, &self.roster, suspicion, local_health)
+        };
         self.requests[number].attempts.outlook(LIMIT, belief)
     }
 
--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -94,7 +94,7 @@
     let asked = ask::<D>(state, server, address);
     let body = tokio::time::timeout(ANSWER, asked).await??;
     let report = D::report(&body)?;
-    state.pulse.borrow_mut().answered(began);
+    state.pulse.borrow_mut().record_answer(began);
     if server.is_denied_by(report.born) {
         learn_restart(state, server, &report);
         anyhow::bail!("restarted");
@@ -208,7 +208,7 @@
 /// look, or by the entries that are on time.
 fn is_void<D>(state: &State<D>, asked: Instant, error: &anyhow::Error) -> bool {
     let is_silence = error.is::<tokio::time::error::Elapsed>();
-    is_silence && state.pulse.borrow().was_late(asked, clock::now())
+    is_silence && state.pulse.borrow().was_delayed(asked, clock::now())
 }
 
 /// Books whether nobody listens at a server's address, by the error with which a question ended.
@@ -277,7 +277,7 @@
 fn ask_witness<D: Dialect>(state: &Rc<State<D>>) {
     let suspicion = state.suspicion.borrow();
     let newest = suspicion.newest().unwrap_or_default();
-    if state.pulse.borrow().was_in_touch(newest) {
+    if state.pulse.borrow().was_connected(newest) {
         return;
     }
     let roster = state.roster.borrow();
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -15,8 +15,8 @@
 use jujube_core::pipeline::era::Settling;
 use jujube_core::pipeline::liveness::Liveness;
 use jujube_core::pipeline::load::Load;
+use jujube_core::pipeline::local_health::LocalHealth;
 use jujube_core::pipeline::outlier::Outliers;
-use jujube_core::pipeline::pulse::Pulse;
 use jujube_core::pipeline::roster::Roster;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::suspicion::Suspicion;
@@ -76,7 +76,7 @@
     /// Who is suspected.
     pub suspicion: RefCell<Suspicion>,
     /// Whether this entry keeps up with its own work.
-    pub pulse: RefCell<Pulse>,
+    pub pulse: RefCell<LocalHealth>,
     /// Who fails too often.
     pub outliers: RefCell<Outliers>,
     /// Told when the other entries should hear at once of a server that died or refuses.
@@ -133,7 +133,7 @@
             gaps: Gaps::default(),
             load: RefCell::default(),
             suspicion: RefCell::default(),
-            pulse: RefCell::new(Pulse::new(watchdog::PACE)),
+            pulse: RefCell::new(LocalHealth::new(watchdog::PACE)),
             outliers: RefCell::default(),
             is_news: tokio::sync::Notify::new(),
             told: RefCell::default(),
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -101,7 +101,7 @@
     loop {
         tokio::time::sleep(Duration::from_millis(PACE.0)).await;
         let now = clock::now();
-        state.pulse.borrow_mut().beat(now);
+        state.pulse.borrow_mut().tick(now);
         let leaving = leaving(&state, now);
         let mut left = 0;
         let listed = state.streams.listed.borrow();
