--- a/crates/core/src/pipeline/chooser/mod.rs
+++ b/crates/core/src/pipeline/chooser/mod.rs
@@ -125,7 +125,7 @@
         if self.suspicion.is_suspected(server) || self.avoid.contains(server) {
             return SUSPECT_MS;
         }
-        if self.outliers.holds(server) || self.suspicion.is_widely_suspected(server) {
+        if self.outliers.contains(server) || self.suspicion.is_widely_suspected(server) {
             return OUTLIER_MS;
         }
         match self.suspicion.peer_reports(server) {
--- a/crates/core/src/pipeline/chooser/walk.rs
+++ b/crates/core/src/pipeline/chooser/walk.rs
@@ -78,7 +78,7 @@
         let engine = &self.engine;
         let layers = f64::from(engine.layers.max(1));
         let used = view.load.tokens(&node.server);
-        let is_full = view.load.refusals.holds(view.now, &node.server);
+        let is_full = view.load.refusals.contains(view.now, &node.server);
         let room = if is_full { 0.0 } else { node.room * USABLE };
         let full = if room > 0.0 { used / room } else { 1.0 };
         let read_ms = need.prompt / engine.read_per_second.max(1.0) * 1e3 * node.kind.read_pace;
--- a/crates/core/src/pipeline/outlier.rs
+++ b/crates/core/src/pipeline/outlier.rs
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
     /// The weight of those that ended well.
-    pub good: f64,
+    pub succeeded: f64,
     /// The weight of those that failed.
-    pub bad: f64,
+    pub failed: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -36,8 +36,8 @@
         let age = now.since(self.at).0 as f64 / HALF_LIFE.0 as f64;
         let weight = 0.5_f64.powf(age);
         Tally {
-            good: self.tally.good * weight,
-            bad: self.tally.bad * weight,
+            succeeded: self.tally.succeeded * weight,
+            failed: self.tally.failed * weight,
         }
     }
 }
@@ -57,10 +57,10 @@
 /// for _ in 0..3 {
 ///     outliers.failed(Instant(0), &"a".into());
 /// }
-/// outliers.judge(Instant(0));
-/// assert!(outliers.holds(&"a".into()));
-/// outliers.judge(Instant(3_000));
-/// assert!(!outliers.holds(&"a".into()), "it is tried again");
+/// outliers.evaluate(Instant(0));
+/// assert!(outliers.contains(&"a".into()));
+/// outliers.evaluate(Instant(3_000));
+/// assert!(!outliers.contains(&"a".into()), "it is tried again");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Outliers {
@@ -77,8 +77,8 @@
             now,
             server,
             Tally {
-                good: 1.0,
-                bad: 0.0,
+                succeeded: 1.0,
+                failed: 0.0,
             },
         );
     }
@@ -89,8 +89,8 @@
             now,
             server,
             Tally {
-                good: 0.0,
-                bad: 1.0,
+                succeeded: 0.0,
+                failed: 1.0,
             },
         );
     }
@@ -99,8 +99,8 @@
         let before = self.own.get(server).map(|aging| aging.at(now));
         let before = before.unwrap_or_default();
         let tally = Tally {
-            good: before.good + more.good,
-            bad: before.bad + more.bad,
+            succeeded: before.succeeded + more.succeeded,
+            failed: before.failed + more.failed,
         };
         self.own.insert(server.clone(), Aging { tally, at: now });
     }
@@ -118,20 +118,21 @@
             .own
             .iter()
             .map(move |(name, aging)| (name, aging.at(now)));
-        aged.filter(|(_, tally)| tally.good + tally.bad >= WORTH_TELLING)
+        aged.filter(|(_, tally)| tally.succeeded + tally.failed >= WORTH_TELLING)
     }
 
     /// Judges all servers by what is known now; returns who is newly avoided.
-    pub fn judge(&mut self, now: Instant) -> Vec<Incarnation> {
+    pub fn evaluate(&mut self, now: Instant) -> Vec<Incarnation> {
         let own = self.own.iter().map(|(name, aging)| (name, aging.at(now)));
         let mut sums: BTreeMap<&Incarnation, Tally> = own.collect();
         for (server, tally) in &self.others {
             let sum = sums.entry(server).or_default();
-            sum.good += tally.good;
-            sum.bad += tally.bad;
+            sum.succeeded += tally.succeeded;
+            sum.failed += tally.failed;
         }
         let is_bad = |tally: &Tally| {
-            tally.bad >= LEAST_FAILURES && tally.bad >= SHARE * (tally.good + tally.bad)
+            tally.failed >= LEAST_FAILURES
+                && tally.failed >= SHARE * (tally.succeeded + tally.failed)
         };
         let bad = sums.into_iter().filter(|(_, tally)| is_bad(tally));
         let avoided: BTreeSet<Incarnation> = bad.map(|(server, _)| server.clone()).collect();
@@ -142,7 +143,7 @@
 
     /// Tells whether a server is to be avoided.
     #[must_use]
-    pub fn holds(&self, server: &Incarnation) -> bool {
+    pub fn contains(&self, server: &Incarnation) -> bool {
         self.avoided.contains(server)
     }
 
--- a/crates/core/src/pipeline/refusals.rs
+++ b/crates/core/src/pipeline/refusals.rs
@@ -41,10 +41,10 @@
 /// # use jujube_core::time::Span;
 /// let mut refusals = Refusals::default();
 /// assert!(refusals.refused(Instant(0), &"a".into()));
-/// assert!(refusals.holds(Instant(100), &"a".into()));
-/// assert!(!refusals.holds(Instant(200), &"a".into()));
-/// refusals.hear(Instant(300), "b".into(), Span(150));
-/// assert!(refusals.holds(Instant(400), &"b".into()));
+/// assert!(refusals.contains(Instant(100), &"a".into()));
+/// assert!(!refusals.contains(Instant(200), &"a".into()));
+/// refusals.receive(Instant(300), "b".into(), Span(150));
+/// assert!(refusals.contains(Instant(400), &"b".into()));
 /// assert_eq!(refusals.own(Instant(400)).count(), 0, "what was heard is not told on");
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -70,7 +70,7 @@
     }
 
     /// Takes another entry's word that a server refused, and for how much longer it believes that.
-    pub fn hear(&mut self, now: Instant, server: Incarnation, lasts: Span) {
+    pub fn receive(&mut self, now: Instant, server: Incarnation, lasts: Span) {
         self.heard.retain(|_, until| *until > now);
         let until = now.plus(lasts.min(LONGEST_FULL));
         self.heard.insert(server, until);
@@ -107,7 +107,7 @@
 
     /// Tells whether a server refused a request a moment ago.
     #[must_use]
-    pub fn holds(&self, now: Instant, server: &Incarnation) -> bool {
+    pub fn contains(&self, now: Instant, server: &Incarnation) -> bool {
         let own = self.own.get(server).map(|refusal| refusal.until);
         let until = own.max(self.heard.get(server).copied());
         until.is_some_and(|until| until > now)
--- a/crates/core/src/pipeline/summary.rs
+++ b/crates/core/src/pipeline/summary.rs
@@ -73,8 +73,8 @@
         }
         for (server, tally) in &other.ended {
             let sum = self.ended.entry(server.clone()).or_default();
-            sum.good += tally.good;
-            sum.bad += tally.bad;
+            sum.succeeded += tally.succeeded;
+            sum.failed += tally.failed;
         }
         for (server, slowness) in &other.slow {
             let most = self.slow.entry(server.clone()).or_default();
--- a/crates/core/tests/incarnations.rs
+++ b/crates/core/tests/incarnations.rs
@@ -198,16 +198,16 @@
     for _ in 0..5 {
         outliers.failed(now, &earlier);
     }
-    outliers.judge(now);
+    outliers.evaluate(now);
 
     assert_eq!(load.requests(&later), 0);
     assert_eq!(load.slowness(now, &later), 1.0);
-    assert!(!load.refusals.holds(now, &later));
+    assert!(!load.refusals.contains(now, &later));
     assert_eq!(load.backlog.wait_ms(now, &later), 0.0);
     assert!(!suspicion.is_suspected(&later));
-    assert!(!outliers.holds(&later));
+    assert!(!outliers.contains(&later));
     assert!(
-        outliers.holds(&earlier),
+        outliers.contains(&earlier),
         "the record is the earlier start's"
     );
 }
--- a/crates/core/tests/outage.rs
+++ b/crates/core/tests/outage.rs
@@ -180,7 +180,7 @@
     for step in 0..60 {
         let now = Instant(step * 50);
         for server in [&full, &leaver] {
-            if !refusals.holds(now, server) {
+            if !refusals.contains(now, server) {
                 refusals.refused(now, server);
             }
         }
@@ -201,8 +201,8 @@
 fn a_leaver_is_known_to_all_entries() {
     let mut refusals = Refusals::default();
 
-    refusals.hear(Instant(0), "leaver".into(), Span(1_500));
-    refusals.hear(Instant(0), "full".into(), Span(750));
+    refusals.receive(Instant(0), "leaver".into(), Span(1_500));
+    refusals.receive(Instant(0), "full".into(), Span(750));
 
     assert!(refusals.is_leaving(Instant(100), &"leaver".into()));
     assert!(!refusals.is_leaving(Instant(100), &"full".into()));
--- a/crates/core/tests/outlier.rs
+++ b/crates/core/tests/outlier.rs
@@ -47,7 +47,7 @@
             });
         }
         entry.set_others(sum.ended);
-        entry.judge(now);
+        entry.evaluate(now);
     }
 }
 
@@ -65,7 +65,7 @@
             tell(now, &mut entries);
         }
         let entry = &mut entries[draws.random_range(0..ENTRIES)];
-        let usable: Vec<&Incarnation> = servers.iter().filter(|s| !entry.holds(s)).collect();
+        let usable: Vec<&Incarnation> = servers.iter().filter(|s| !entry.contains(s)).collect();
         let server = usable[draws.random_range(0..usable.len())].clone();
         if fails(&server, draws.random()) {
             failed += 1;
@@ -107,7 +107,7 @@
         } else {
             outliers.served(now, &server);
         }
-        avoided += outliers.judge(now).len();
+        avoided += outliers.evaluate(now).len();
     }
 
     assert_eq!(avoided, 0);
@@ -121,9 +121,9 @@
     for _ in 0..8 {
         outliers.failed(Instant(0), &server);
     }
-    assert_eq!(outliers.judge(Instant(0)), std::slice::from_ref(&server));
+    assert_eq!(outliers.evaluate(Instant(0)), std::slice::from_ref(&server));
 
-    outliers.judge(Instant(6_000));
+    outliers.evaluate(Instant(6_000));
 
-    assert!(!outliers.holds(&server));
+    assert!(!outliers.contains(&server));
 }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -192,7 +192,7 @@
 
     let choice = fleet.choose(NEED, &world.view(&home)).unwrap();
     assert!(!choice.path.passes(&server));
-    assert!(!world.load.refusals.holds(Instant(10_000), &server));
+    assert!(!world.load.refusals.contains(Instant(10_000), &server));
 }
 
 #[test]
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -79,8 +79,8 @@
 impl From<&Tally> for Fact {
     fn from(tally: &Tally) -> Self {
         Self::Ended {
-            good: tally.good as f32,
-            bad: tally.bad as f32,
+            good: tally.succeeded as f32,
+            bad: tally.failed as f32,
         }
     }
 }
@@ -279,8 +279,8 @@
         }
         Fact::Ended { good, bad } => {
             let tally = Tally {
-                good: figure(good)?,
-                bad: figure(bad)?,
+                succeeded: figure(good)?,
+                failed: figure(bad)?,
             };
             summary.ended.insert(server, tally);
         }
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -66,7 +66,7 @@
         }
         told = clock::now();
         sum_up(&state);
-        for server in state.outliers.borrow_mut().judge(told) {
+        for server in state.outliers.borrow_mut().evaluate(told) {
             log::info!("event=outlier server={server}");
         }
         let neighbours = state.peers.directory.borrow().neighbours();
@@ -193,7 +193,7 @@
     }
     let mut load = state.load.borrow_mut();
     for (server, lasts) in &summary.full {
-        load.refusals.hear(now, server.clone(), *lasts);
+        load.refusals.receive(now, server.clone(), *lasts);
     }
     for (server, slowness) in &summary.slow {
         load.reported(now, server, *slowness);
--- a/crates/front/src/whole.rs
+++ b/crates/front/src/whole.rs
@@ -300,7 +300,7 @@
         let home = &self.state.settings.zone;
         let record = |server: &&Server| {
             let name = &server.incarnation;
-            let is_avoided = outliers.holds(name) || suspicion.is_widely_suspected(name);
+            let is_avoided = outliers.contains(name) || suspicion.is_widely_suspected(name);
             (suspicion.is_suspected(name), is_avoided)
         };
         let mut usable: Vec<&Server> = roster
