--- a/crates/core/src/pipeline/mod.rs
+++ b/crates/core/src/pipeline/mod.rs
@@ -8,7 +8,6 @@
 pub mod assignment;
 pub mod attempts;
 pub mod backlog;
-pub mod board;
 pub mod budget;
 pub mod cell;
 pub mod chooser;
@@ -25,6 +24,7 @@
 pub mod placement;
 pub mod refusals;
 pub mod relay;
+pub mod reports;
 pub mod reserve;
 pub mod roster;
 
--- a/crates/core/src/pipeline/board.rs
+++ b/crates/core/src/pipeline/reports.rs
@@ -19,9 +19,9 @@
     Rest,
 }
 
-/// Which portion of a word a message is; a word that does not fit into one message is told in several.
+/// Which fragment of a word a message is; a word that does not fit into one message is told in several.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Portion {
+pub struct Fragment {
     /// Its number, from 0.
     pub number: u16,
     /// How many more there are after the first.
@@ -29,19 +29,19 @@
 }
 
 #[derive(Clone, Debug)]
-struct Word {
+struct Report {
     at: Instant,
     summary: Summary,
 }
 
-/// The portions of one teller's word. One that is lost leaves the one before in place.
+/// The fragments of one teller's word. One that is lost leaves the one before in place.
 #[derive(Clone, Debug, Default)]
-struct Words(BTreeMap<u16, Word>);
+struct Fragments(BTreeMap<u16, Report>);
 
-impl Words {
-    fn hear(&mut self, now: Instant, portion: Portion, summary: Summary) {
-        self.0.retain(|number, _| *number <= portion.last);
-        self.0.insert(portion.number, Word { at: now, summary });
+impl Fragments {
+    fn receive(&mut self, now: Instant, fragment: Fragment, summary: Summary) {
+        self.0.retain(|number, _| *number <= fragment.last);
+        self.0.insert(fragment.number, Report { at: now, summary });
     }
 
     fn expire(&mut self, now: Instant) -> bool {
@@ -73,39 +73,39 @@
 /// # Examples
 ///
 /// ```
-/// # use jujube_core::pipeline::board::Board;
-/// # use jujube_core::pipeline::board::Portion;
-/// # use jujube_core::pipeline::board::Scope;
+/// # use jujube_core::pipeline::reports::Reports;
+/// # use jujube_core::pipeline::reports::Fragment;
+/// # use jujube_core::pipeline::reports::Scope;
 /// # use jujube_core::pipeline::cell::STANDS;
 /// # use jujube_core::pipeline::summary::Summary;
 /// # use jujube_core::time::Instant;
-/// let mut board = Board::default();
+/// let mut reports = Reports::default();
 /// let word = Summary { entries: 1, ..Summary::default() };
-/// board.hear(Instant(0), "a", Scope::Own, Portion::default(), word.clone());
-/// board.hear(Instant(0), "b", Scope::Rest, Portion::default(), Summary { entries: 5, ..word });
-/// assert_eq!(board.others(Instant(10)).entries, 6);
+/// reports.receive(Instant(0), "a", Scope::Own, Fragment::default(), word.clone());
+/// reports.receive(Instant(0), "b", Scope::Rest, Fragment::default(), Summary { entries: 5, ..word });
+/// assert_eq!(reports.others(Instant(10)).entries, 6);
 /// let later = Instant(STANDS.0 + 1);
-/// board.expire(later);
-/// assert_eq!(board.others(later).entries, 0);
+/// reports.expire(later);
+/// assert_eq!(reports.others(later).entries, 0);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Board {
-    /// Words of the own cell, by entry.
-    near: BTreeMap<Arc<str>, Words>,
+pub struct Reports {
+    /// Fragments of the own cell, by entry.
+    near: BTreeMap<Arc<str>, Fragments>,
     /// Sums of other cells; an entry hears them if it speaks for its own.
-    cells: BTreeMap<Id, BTreeMap<Arc<str>, Words>>,
+    cells: BTreeMap<Id, BTreeMap<Arc<str>, Fragments>>,
     /// The sum of all other cells, as the speakers of the own one tell it.
-    rest: BTreeMap<Arc<str>, Words>,
+    rest: BTreeMap<Arc<str>, Fragments>,
 }
 
-impl Board {
-    /// Takes a portion of another entry's word.
-    pub fn hear(
+impl Reports {
+    /// Takes a fragment of another entry's word.
+    pub fn receive(
         &mut self,
         now: Instant,
         teller: impl Into<Arc<str>>,
         scope: Scope,
-        portion: Portion,
+        fragment: Fragment,
         summary: Summary,
     ) {
         let tellers = match scope {
@@ -114,7 +114,7 @@
             Scope::Rest => &mut self.rest,
         };
         let words = tellers.entry(teller.into()).or_default();
-        words.hear(now, portion, summary);
+        words.receive(now, fragment, summary);
     }
 
     /// Forgets what has stood for its time.
@@ -167,8 +167,8 @@
 }
 
 /// Adds the word of one of several tellers of the same thing: the one that knows the most entries, and of those the
-/// one that was heard last. Two that speak for a cell hear the others each for itself, and one may miss some.
-fn add_best(tellers: &BTreeMap<Arc<str>, Words>, sum: &mut Summary, now: Instant) {
+/// one that was heard last. Two that speak for a cell receive the others each for itself, and one may miss some.
+fn add_best(tellers: &BTreeMap<Arc<str>, Fragments>, sum: &mut Summary, now: Instant) {
     let best = tellers
         .values()
         .max_by_key(|words| (words.entries(), words.newest()));
--- a/crates/core/tests/cells.rs
+++ b/crates/core/tests/cells.rs
@@ -10,9 +10,6 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use jujube_core::pipeline::board::Board;
-use jujube_core::pipeline::board::Portion;
-use jujube_core::pipeline::board::Scope;
 use jujube_core::pipeline::cell::AGE;
 use jujube_core::pipeline::cell::Directory;
 use jujube_core::pipeline::cell::MOST;
@@ -21,6 +18,9 @@
 use jujube_core::pipeline::cell::STANDS;
 use jujube_core::pipeline::cell::TELL;
 use jujube_core::pipeline::load::Use;
+use jujube_core::pipeline::reports::Fragment;
+use jujube_core::pipeline::reports::Reports;
+use jujube_core::pipeline::reports::Scope;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::summary::Summary;
 use jujube_core::time::Instant;
@@ -72,7 +72,7 @@
 
 struct Entry {
     directory: Directory,
-    board: Board,
+    board: Reports,
     word: Summary,
     tells_at: u64,
     relays_at: u64,
@@ -100,7 +100,7 @@
             directory.replaced(announced);
             Entry {
                 directory,
-                board: Board::default(),
+                board: Reports::default(),
                 word: own(number),
                 tells_at: draw.random_range(0..TELL.0),
                 relays_at: draw.random_range(0..RELAY.0),
@@ -144,7 +144,7 @@
                 hearer.directory.heard(now, &name(from), place(from));
                 hearer
                     .board
-                    .hear(now, name(from), scope, Portion::default(), summary);
+                    .receive(now, name(from), scope, Fragment::default(), summary);
             }
         }
     }
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -12,9 +12,6 @@
 
 use jujube_core::layer::Range;
 use jujube_core::name::Zone;
-use jujube_core::pipeline::board::Board;
-use jujube_core::pipeline::board::Portion;
-use jujube_core::pipeline::board::Scope;
 use jujube_core::pipeline::chooser::Fleet;
 use jujube_core::pipeline::chooser::Need;
 use jujube_core::pipeline::chooser::View;
@@ -26,6 +23,9 @@
 use jujube_core::pipeline::path::Path;
 use jujube_core::pipeline::placement::Holder;
 use jujube_core::pipeline::placement::plan;
+use jujube_core::pipeline::reports::Fragment;
+use jujube_core::pipeline::reports::Reports;
+use jujube_core::pipeline::reports::Scope;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::summary::Summary;
 use jujube_core::pipeline::suspicion::Suspicion;
@@ -375,9 +375,9 @@
         used: [("s".into(), Use { tokens, requests })].into(),
         ..Summary::default()
     };
-    let (mut load, mut board) = (Load::default(), Board::default());
-    let mut hear = |board: &mut Board, now, teller, word| {
-        board.hear(Instant(now), teller, Scope::Own, Portion::default(), word);
+    let (mut load, mut board) = (Load::default(), Reports::default());
+    let mut hear = |board: &mut Reports, now, teller, word| {
+        board.receive(Instant(now), teller, Scope::Own, Fragment::default(), word);
         let others = board.others(Instant(now));
         load.set_others(others.entries, others.used);
         (
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -6,11 +6,11 @@
 use jujube_core::fence::Token;
 use jujube_core::layer::Range;
 use jujube_core::name::Zone;
-use jujube_core::pipeline::board::Portion;
-use jujube_core::pipeline::board::Scope;
 use jujube_core::pipeline::cell::Id;
 use jujube_core::pipeline::load::Use;
 use jujube_core::pipeline::outlier::Tally;
+use jujube_core::pipeline::reports::Fragment;
+use jujube_core::pipeline::reports::Scope;
 use jujube_core::pipeline::server::Born;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::summary::Summary;
@@ -138,7 +138,7 @@
     /// Of whom it is.
     pub(super) scope: Scope,
     /// Which portion of the word it is.
-    pub(super) portion: Portion,
+    pub(super) portion: Fragment,
     /// What it says.
     pub(super) summary: Summary,
 }
@@ -260,7 +260,7 @@
         entry: message.entry,
         zone: message.zone.into(),
         scope: message.whose.into(),
-        portion: Portion {
+        portion: Fragment {
             number: message.number,
             last: message.last,
         },
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use jujube_core::layer::Range;
-use jujube_core::pipeline::board::Scope;
 use jujube_core::pipeline::cell;
 use jujube_core::pipeline::cell::Place;
+use jujube_core::pipeline::reports::Scope;
 use jujube_core::pipeline::roster::Effect;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::summary::Summary;
@@ -200,7 +200,7 @@
     }
     drop(load);
     let mut board = state.peers.board.borrow_mut();
-    board.hear(now, entry, heard.scope, heard.portion, summary);
+    board.receive(now, entry, heard.scope, heard.portion, summary);
     drop(board);
     if now.since(state.peers.summed.get()) >= SUMS {
         sum_up(state);
--- a/crates/front/src/gossip/peers.rs
+++ b/crates/front/src/gossip/peers.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 
 use jujube_core::name::Zone;
-use jujube_core::pipeline::board::Board;
 use jujube_core::pipeline::cell::Directory;
 use jujube_core::pipeline::cell::Place;
 use jujube_core::pipeline::outage;
+use jujube_core::pipeline::reports::Reports;
 use jujube_core::pipeline::reserve::LeaseId;
 use jujube_core::time::Instant;
 use jujube_store::kv::Value;
@@ -49,7 +49,7 @@
     /// Who they are, in cells.
     pub directory: RefCell<Directory>,
     /// What they said.
-    pub(super) board: RefCell<Board>,
+    pub(super) board: RefCell<Reports>,
     /// When what they said was added up last.
     pub(super) summed: Cell<Instant>,
     heard: Cell<u64>,
