--- a/crates/core/src/pipeline/cell.rs
+++ b/crates/core/src/pipeline/cell.rs
@@ -16,17 +16,17 @@
 ///
 /// Each then sends and gets at most two hundred messages a second, at some 15 microseconds of processor time each.
 /// Smaller cells cost less, and make what is known three times as old in fleets that could have been one.
-pub const MOST: usize = 32;
+pub const MAX_ENTRIES: usize = 32;
 /// How often an entry tells the others of its cell what it knows itself. In that time one of four entries starts
 /// three streams, which is a few parts in a hundred of a server's room.
-pub const TELL: Span = Span(150);
+pub const REPORT_INTERVAL: Span = Span(150);
 /// How often a speaker tells the other cells the sum of its own.
-pub const RELAY: Span = Span(150);
+pub const RELAY_INTERVAL: Span = Span(150);
 /// The oldest that a word is when it is used, if none is lost: told inside a cell, on to another, and on inside it.
-pub const AGE: Span = Span(TELL.0 + RELAY.0 + TELL.0);
+pub const MAX_REPORT_AGE: Span = Span(REPORT_INTERVAL.0 + RELAY_INTERVAL.0 + REPORT_INTERVAL.0);
 /// How long a word stands at whoever heard it: eight of the slowest period, so that several in a row may be lost or
 /// late before what an entry has in flight is forgotten.
-pub const STANDS: Span = Span(8 * RELAY.0);
+pub const REPORT_TTL: Span = Span(8 * RELAY_INTERVAL.0);
 /// How many entries of a cell speak for it; one may die without a gap.
 const SPEAKERS: usize = 2;
 /// How long an entry whose announcement has ended is still told, after it was last heard: announcements also end
@@ -55,7 +55,7 @@
 
 /// Where an entry is.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Place {
+pub struct Location {
     /// Its availability zone.
     pub zone: Zone,
     /// Where it hears the others.
@@ -64,22 +64,23 @@
 
 #[derive(Clone, Debug)]
 struct Member {
-    place: Place,
+    place: Location,
     is_announced: bool,
     heard: Option<Instant>,
 }
 
 impl Member {
     fn is_heard(&self, now: Instant) -> bool {
-        self.heard.is_some_and(|heard| now.since(heard) <= STANDS)
+        self.heard
+            .is_some_and(|heard| now.since(heard) <= REPORT_TTL)
     }
 }
 
 /// All entries that are known, in cells.
 ///
-/// Up to [`MOST`] entries are one cell. More are cut into cells by availability zone, and large zones into equal
+/// Up to [`MAX_ENTRIES`] entries are one cell. More are cut into cells by availability zone, and large zones into equal
 /// parts. Inside a cell all tell all; two entries of each, its speakers, tell the other cells' speakers the sum
-/// of theirs, and tell their own cell the sum of all others. So what an entry knows of all is at most [`AGE`] old
+/// of theirs, and tell their own cell the sum of all others. So what an entry knows of all is at most [`MAX_REPORT_AGE`] old
 /// whatever their number, and no entry sends more than a cell's worth of messages and one for each other cell.
 ///
 /// Entries may know different others for a while, and cut the cells differently. Whoever is told something takes
@@ -90,9 +91,9 @@
 ///
 /// ```
 /// # use jujube_core::pipeline::cell::Directory;
-/// # use jujube_core::pipeline::cell::Place;
+/// # use jujube_core::pipeline::cell::Location;
 /// # use jujube_core::time::Instant;
-/// let place = |host| Place { zone: "z".into(), address: ([10, 0, 0, host], 7340).into() };
+/// let place = |host| Location { zone: "z".into(), address: ([10, 0, 0, host], 7340).into() };
 /// let mut directory = Directory::new("a", place(1));
 /// directory.announced("b", place(2));
 /// assert_eq!(directory.count(), 2);
@@ -112,7 +113,7 @@
 impl Directory {
     /// Returns the directory of an entry that knows no other.
     #[must_use]
-    pub fn new(own: impl Into<Arc<str>>, place: Place) -> Self {
+    pub fn new(own: impl Into<Arc<str>>, place: Location) -> Self {
         let own = own.into();
         let member = Member {
             place,
@@ -131,7 +132,7 @@
     }
 
     /// Takes an entry's announcement.
-    pub fn announced(&mut self, name: impl Into<Arc<str>>, place: Place) {
+    pub fn announced(&mut self, name: impl Into<Arc<str>>, place: Location) {
         let name = name.into();
         if name == self.own {
             return;
@@ -157,7 +158,7 @@
     }
 
     /// Takes all entries that are announced.
-    pub fn replaced(&mut self, announced: impl IntoIterator<Item = (Arc<str>, Place)>) {
+    pub fn replaced(&mut self, announced: impl IntoIterator<Item = (Arc<str>, Location)>) {
         let own = self.own.clone();
         let others = self.members.iter_mut().filter(|(name, _)| **name != own);
         others.for_each(|(_, member)| member.is_announced = false);
@@ -167,7 +168,7 @@
     }
 
     /// Takes that an entry was heard.
-    pub fn heard(&mut self, now: Instant, name: &Arc<str>, place: Place) {
+    pub fn heard(&mut self, now: Instant, name: &Arc<str>, place: Location) {
         if *name == self.own {
             return;
         }
@@ -294,7 +295,7 @@
 }
 
 fn group(members: &BTreeMap<Arc<str>, Member>) -> BTreeMap<Id, Vec<Arc<str>>> {
-    if members.len() <= MOST {
+    if members.len() <= MAX_ENTRIES {
         return [(Id::whole(), members.keys().cloned().collect())].into();
     }
     let mut zones: BTreeMap<&Zone, Vec<Arc<str>>> = BTreeMap::new();
@@ -306,7 +307,7 @@
     }
     let mut cells = BTreeMap::new();
     for (zone, names) in zones {
-        let parts = names.len().div_ceil(MOST);
+        let parts = names.len().div_ceil(MAX_ENTRIES);
         let most = names.len().div_ceil(parts);
         for (number, names) in names.chunks(most).enumerate() {
             cells.insert(Id::part(zone, number), names.to_vec());
--- a/crates/core/src/pipeline/reports.rs
+++ b/crates/core/src/pipeline/reports.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::pipeline::cell::Id;
-use crate::pipeline::cell::STANDS;
+use crate::pipeline::cell::REPORT_TTL;
 use crate::pipeline::summary::Summary;
 use crate::time::Instant;
 
@@ -45,7 +45,7 @@
     }
 
     fn expire(&mut self, now: Instant) -> bool {
-        self.0.retain(|_, word| now.since(word.at) <= STANDS);
+        self.0.retain(|_, word| now.since(word.at) <= REPORT_TTL);
         !self.0.is_empty()
     }
 
@@ -66,7 +66,7 @@
 
 /// What others said lately.
 ///
-/// Each teller's last word stands for [`STANDS`], so that a lost message costs freshness and not the knowledge,
+/// Each teller's last word stands for [`REPORT_TTL`], so that a lost message costs freshness and not the knowledge,
 /// and one that is gone leaves the sums: at those it told within that time, and at those who were told on as soon
 /// as they are told again.
 ///
@@ -76,7 +76,7 @@
 /// # use jujube_core::pipeline::reports::Reports;
 /// # use jujube_core::pipeline::reports::Fragment;
 /// # use jujube_core::pipeline::reports::Scope;
-/// # use jujube_core::pipeline::cell::STANDS;
+/// # use jujube_core::pipeline::cell::REPORT_TTL;
 /// # use jujube_core::pipeline::summary::Summary;
 /// # use jujube_core::time::Instant;
 /// let mut reports = Reports::default();
@@ -84,7 +84,7 @@
 /// reports.receive(Instant(0), "a", Scope::Own, Fragment::default(), word.clone());
 /// reports.receive(Instant(0), "b", Scope::Rest, Fragment::default(), Summary { entries: 5, ..word });
 /// assert_eq!(reports.others(Instant(10)).entries, 6);
-/// let later = Instant(STANDS.0 + 1);
+/// let later = Instant(REPORT_TTL.0 + 1);
 /// reports.expire(later);
 /// assert_eq!(reports.others(later).entries, 0);
 /// ```
--- a/crates/core/tests/cells.rs
+++ b/crates/core/tests/cells.rs
@@ -10,13 +10,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use jujube_core::pipeline::cell::AGE;
 use jujube_core::pipeline::cell::Directory;
-use jujube_core::pipeline::cell::MOST;
-use jujube_core::pipeline::cell::Place;
-use jujube_core::pipeline::cell::RELAY;
-use jujube_core::pipeline::cell::STANDS;
-use jujube_core::pipeline::cell::TELL;
+use jujube_core::pipeline::cell::Location;
+use jujube_core::pipeline::cell::MAX_ENTRIES;
+use jujube_core::pipeline::cell::MAX_REPORT_AGE;
+use jujube_core::pipeline::cell::RELAY_INTERVAL;
+use jujube_core::pipeline::cell::REPORT_INTERVAL;
+use jujube_core::pipeline::cell::REPORT_TTL;
 use jujube_core::pipeline::load::Use;
 use jujube_core::pipeline::reports::Fragment;
 use jujube_core::pipeline::reports::Reports;
@@ -38,8 +38,8 @@
 /// at some 15 microseconds each, and may spend 2.8 parts in a hundred of a core on control.
 const MOST_MESSAGES: f64 = 900.0;
 
-fn place(number: usize) -> Place {
-    Place {
+fn place(number: usize) -> Location {
+    Location {
         zone: format!("zone-{}", number % ZONES).as_str().into(),
         address: SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7340)),
     }
@@ -102,8 +102,8 @@
                 directory,
                 board: Reports::default(),
                 word: own(number),
-                tells_at: draw.random_range(0..TELL.0),
-                relays_at: draw.random_range(0..RELAY.0),
+                tells_at: draw.random_range(0..REPORT_INTERVAL.0),
+                relays_at: draw.random_range(0..RELAY_INTERVAL.0),
                 is_alive: true,
                 is_cut: false,
                 sent: 0,
@@ -158,7 +158,7 @@
         entry.board.expire(now);
         let mut told: Vec<(SocketAddr, Scope, Summary)> = Vec::new();
         if self.now >= entry.tells_at {
-            entry.tells_at = self.now + TELL.0;
+            entry.tells_at = self.now + REPORT_INTERVAL.0;
             let rest = entry
                 .directory
                 .is_speaker(now)
@@ -170,7 +170,7 @@
             }
         }
         if self.now >= entry.relays_at {
-            entry.relays_at = self.now + RELAY.0;
+            entry.relays_at = self.now + RELAY_INTERVAL.0;
             if entry.directory.is_speaker(now) {
                 let sum = entry.board.cell(now, &entry.word);
                 let scope = Scope::Cell(entry.directory.home().clone());
@@ -209,8 +209,8 @@
 /// Nothing that is told gets older, or costs an entry more, because there are more entries.
 #[test]
 fn messages_are_bounded_whatever_the_number_of_entries() {
-    assert!(STANDS >= Span(3 * RELAY.0) && STANDS >= Span(3 * TELL.0));
-    assert!(STANDS >= AGE);
+    assert!(REPORT_TTL >= Span(3 * RELAY_INTERVAL.0) && REPORT_TTL >= Span(3 * REPORT_INTERVAL.0));
+    assert!(REPORT_TTL >= MAX_REPORT_AGE);
     for count in [2, 3, 8, 16, 17, 30, 52, 103, 141, 250, 370, 600, 1_000] {
         let mut directory = Directory::new(name(0), place(0));
         directory.replaced((0..count).map(|number| (name(number), place(number))));
@@ -218,9 +218,10 @@
         let near = directory.neighbours().len();
         let far = directory.targets(Instant(0)).len();
 
-        assert!(near < MOST, "{count}: {near}");
+        assert!(near < MAX_ENTRIES, "{count}: {near}");
         // A speaker tells its cell two words, its own and the sum of all others.
-        let sent = 2.0 * near as f64 / (TELL.0 as f64 / 1e3) + far as f64 / (RELAY.0 as f64 / 1e3);
+        let sent = 2.0 * near as f64 / (REPORT_INTERVAL.0 as f64 / 1e3)
+            + far as f64 / (RELAY_INTERVAL.0 as f64 / 1e3);
         assert!(sent <= MOST_MESSAGES, "{count}: {sent}");
     }
 }
@@ -253,7 +254,7 @@
             world.entries[number % count].is_alive = false;
         }
         // Those told at first hand forget them, and whoever speaks next for their cell is found.
-        world.run(Span(2 * STANDS.0 + MOST as u64 * RELAY.0 + AGE.0));
+        world.run(Span(2 * REPORT_TTL.0 + MAX_ENTRIES as u64 * RELAY_INTERVAL.0 + MAX_REPORT_AGE.0));
 
         let total = world.total();
         for number in 0..count {
@@ -286,7 +287,7 @@
 fn what_all_have_is_known_soon() {
     let mut world = World::new(103, 0.0);
 
-    world.run(Span(2 * AGE.0));
+    world.run(Span(2 * MAX_REPORT_AGE.0));
 
     for number in 0..103 {
         assert_eq!(world.known(number).entries, 103, "entry {number}");
@@ -329,7 +330,9 @@
     for number in 0..10 {
         world.entries[number].is_cut = false;
     }
-    world.run(Span(2 * STANDS.0 + MOST as u64 * RELAY.0));
+    world.run(Span(
+        2 * REPORT_TTL.0 + MAX_ENTRIES as u64 * RELAY_INTERVAL.0,
+    ));
 
     for number in 0..60 {
         assert_eq!(world.known(number).entries, 60, "entry {number}");
--- a/crates/front/src/gossip/announce.rs
+++ b/crates/front/src/gossip/announce.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jujube_core::pipeline::cell::Place;
+use jujube_core::pipeline::cell::Location;
 use jujube_core::pipeline::reserve::LeaseId;
 use jujube_core::revision::Revision;
 use jujube_program::clock;
@@ -49,7 +49,7 @@
     let lease = store.grant(state.retries.lease).await?;
     let tenure = LeaseId(lease.0.unsigned_abs());
     let announcement = Announcement {
-        place: Place {
+        place: Location {
             zone: state.settings.zone.clone(),
             address: state.settings.gossip,
         },
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -12,7 +12,7 @@
 
 use jujube_core::layer::Range;
 use jujube_core::pipeline::cell;
-use jujube_core::pipeline::cell::Place;
+use jujube_core::pipeline::cell::Location;
 use jujube_core::pipeline::reports::Scope;
 use jujube_core::pipeline::roster::Effect;
 use jujube_core::pipeline::server::Incarnation;
@@ -59,7 +59,7 @@
     let mut told_rest = told;
     loop {
         let urgent = state.is_news.notified();
-        let is_urgent = tokio::time::timeout(millis(cell::TELL), urgent).await;
+        let is_urgent = tokio::time::timeout(millis(cell::REPORT_INTERVAL), urgent).await;
         if is_urgent.is_ok() {
             let gap = URGENT_GAP.0.saturating_sub(clock::now().since(told).0);
             tokio::time::sleep(millis(Span(gap))).await;
@@ -72,7 +72,7 @@
         let neighbours = state.peers.directory.borrow().neighbours();
         tell(&state, &socket, &neighbours, &Scope::Own, &own(&state)).await;
         let is_speaker = state.peers.directory.borrow().is_speaker(told);
-        if !is_speaker || told.since(told_rest) < cell::TELL {
+        if !is_speaker || told.since(told_rest) < cell::REPORT_INTERVAL {
             continue;
         }
         told_rest = told;
@@ -90,7 +90,7 @@
 /// Tells the other cells the sum of this entry's own, while it speaks for it.
 async fn relay<D: Dialect>(state: Rc<State<D>>, socket: Rc<UdpSocket>) {
     loop {
-        tokio::time::sleep(millis(cell::RELAY)).await;
+        tokio::time::sleep(millis(cell::RELAY_INTERVAL)).await;
         let now = clock::now();
         let directory = &state.peers.directory;
         directory.borrow_mut().expire(now);
@@ -186,7 +186,7 @@
     let zone = heard.zone;
     let summary = heard.summary;
     let mut directory = state.peers.directory.borrow_mut();
-    directory.heard(now, &entry, Place { zone, address });
+    directory.heard(now, &entry, Location { zone, address });
     drop(directory);
     if heard.portion.number == 0 {
         take_planner(state, address, &heard.scope, &summary);
--- a/crates/front/src/gossip/peers.rs
+++ b/crates/front/src/gossip/peers.rs
@@ -7,7 +7,7 @@
 
 use jujube_core::name::Zone;
 use jujube_core::pipeline::cell::Directory;
-use jujube_core::pipeline::cell::Place;
+use jujube_core::pipeline::cell::Location;
 use jujube_core::pipeline::outage;
 use jujube_core::pipeline::reports::Reports;
 use jujube_core::pipeline::reserve::LeaseId;
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Announcement {
     /// Where it is.
-    pub place: Place,
+    pub place: Location,
     /// The lease of the announcement, which tells this one from an earlier one of the same entry.
     pub tenure: LeaseId,
 }
@@ -33,13 +33,13 @@
         let address = words.next()?.parse().ok()?;
         let zone: Zone = words.next()?.into();
         let tenure = words.next()?.parse().ok()?;
-        let place = Place { zone, address };
+        let place = Location { zone, address };
         Some(Self { place, tenure })
     }
 
     /// Returns the value to write.
     pub fn text(&self) -> String {
-        let Place { zone, address } = &self.place;
+        let Location { zone, address } = &self.place;
         format!("{address} {zone} {}", self.tenure)
     }
 }
@@ -59,7 +59,7 @@
 
 impl Peers {
     /// Returns the peers of an entry that knows none.
-    pub fn new(own: Arc<str>, place: Place) -> Self {
+    pub fn new(own: Arc<str>, place: Location) -> Self {
         Self {
             directory: RefCell::new(Directory::new(own, place)),
             board: RefCell::default(),
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -9,7 +9,7 @@
 
 use jujube_core::layer::Range;
 use jujube_core::name::Service;
-use jujube_core::pipeline::cell::Place;
+use jujube_core::pipeline::cell::Location;
 use jujube_core::pipeline::chooser::Fleet;
 use jujube_core::pipeline::document::Table;
 use jujube_core::pipeline::era::Settling;
@@ -114,7 +114,7 @@
 impl<D> State<D> {
     /// Returns the state of an entry that knows nothing yet.
     pub fn new(settings: Settings) -> Self {
-        let place = Place {
+        let place = Location {
             zone: settings.zone.clone(),
             address: settings.gossip,
         };
