--- a/crates/core/src/pipeline/roster.rs
+++ b/crates/core/src/pipeline/roster.rs
@@ -159,7 +159,7 @@
             return Effect::Joined;
         };
         let known = &before.server.incarnation;
-        if server.incarnation.born.is_none() {
+        if server.incarnation.started_at.is_none() {
             // Whoever does not tell its start is taken for the start that is known.
             server.incarnation = known.clone();
         }
@@ -237,8 +237,9 @@
             known.held = held;
             return Effect::Changed;
         }
-        let is_later = known.state == State::Ready && told.born > known.incarnation.born;
-        if is_known || !is_later || known.incarnation.born.is_none() {
+        let is_later =
+            known.state == State::Ready && told.started_at > known.incarnation.started_at;
+        if is_known || !is_later || known.incarnation.started_at.is_none() {
             return Effect::None;
         }
         let mut server = known.clone();
--- a/crates/core/src/pipeline/server.rs
+++ b/crates/core/src/pipeline/server.rs
@@ -16,7 +16,7 @@
     ///
     /// It tells starts apart and orders nothing else: a clock that was set back makes a later start
     /// look like an earlier one.
-    Born;
+    StartTime;
 }
 
 /// One start of a backend server.
@@ -29,13 +29,13 @@
 /// # Examples
 ///
 /// ```
-/// # use jujube_core::pipeline::server::Born;
+/// # use jujube_core::pipeline::server::StartTime;
 /// # use jujube_core::pipeline::server::Incarnation;
-/// let earlier = Incarnation::new("a".into(), Some(Born(1_000)));
-/// let later = Incarnation::new("a".into(), Some(Born(9_000)));
+/// let earlier = Incarnation::new("a".into(), Some(StartTime(1_000)));
+/// let later = Incarnation::new("a".into(), Some(StartTime(9_000)));
 /// assert_ne!(earlier, later);
-/// assert!(earlier.is_denied_by(Some(Born(9_000))));
-/// assert!(!earlier.is_denied_by(None), "a server need not tell");
+/// assert!(earlier.conflicts_with(Some(StartTime(9_000))));
+/// assert!(!earlier.conflicts_with(None), "a server need not tell");
 /// assert_eq!(later.to_string(), "a@9000");
 /// ```
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -43,27 +43,27 @@
     /// The server's name, the same for all its starts.
     pub server: Name,
     /// When it started; `None` where the server does not tell.
-    pub born: Option<Born>,
+    pub started_at: Option<StartTime>,
 }
 
 impl Incarnation {
     /// Returns the start of a server.
     #[must_use]
-    pub fn new(server: Name, born: Option<Born>) -> Self {
-        Self { server, born }
+    pub fn new(server: Name, started_at: Option<StartTime>) -> Self {
+        Self { server, started_at }
     }
 
-    /// Tells whether a server that says it started at `born` is another start than this one.
+    /// Tells whether a server that says it started at `started_at` is another start than this one.
     #[must_use]
-    pub fn is_denied_by(&self, born: Option<Born>) -> bool {
-        self.born.is_some() && born.is_some() && self.born != born
+    pub fn conflicts_with(&self, started_at: Option<StartTime>) -> bool {
+        self.started_at.is_some() && started_at.is_some() && self.started_at != started_at
     }
 }
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
-            Some(born) => write!(f, "{}@{born}", self.server),
+        match self.started_at {
+            Some(started_at) => write!(f, "{}@{started_at}", self.server),
             None => self.server.fmt(f),
         }
     }
@@ -114,5 +114,5 @@
     /// The layers that it holds now; empty when none.
     pub held: Range,
     /// How much longer it is slow after its start.
-    pub cold: Span,
+    pub warm_up: Span,
 }
--- a/crates/core/tests/incarnations.rs
+++ b/crates/core/tests/incarnations.rs
@@ -13,24 +13,24 @@
 use jujube_core::pipeline::outlier::Outliers;
 use jujube_core::pipeline::roster::Effect;
 use jujube_core::pipeline::roster::Roster;
-use jujube_core::pipeline::server::Born;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::server::Server;
+use jujube_core::pipeline::server::StartTime;
 use jujube_core::pipeline::server::State;
 use jujube_core::pipeline::suspicion::Suspicion;
 use jujube_core::time::Instant;
 use jujube_core::time::Span;
 use proptest::prelude::*;
 
-const EARLIER: Option<Born> = Some(Born(1_000));
-const LATER: Option<Born> = Some(Born(9_000));
+const EARLIER: Option<StartTime> = Some(StartTime(1_000));
+const LATER: Option<StartTime> = Some(StartTime(9_000));
 const HELD: Range = Range { start: 0, end: 8 };
 
-fn start(born: Option<Born>) -> Incarnation {
+fn start(born: Option<StartTime>) -> Incarnation {
     Incarnation::new("a".into(), born)
 }
 
-fn server(born: Option<Born>, state: State) -> Server {
+fn server(born: Option<StartTime>, state: State) -> Server {
     let held = if born == EARLIER {
         HELD
     } else {
@@ -46,13 +46,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Word {
     /// Its registration.
-    Registered(Option<Born>, State),
+    Registered(Option<StartTime>, State),
     /// Its registration cannot be read.
     Unreadable,
     /// Its registration was removed.
     Removed,
     /// It says itself what it holds.
-    Reported(Option<Born>, Range),
+    Reported(Option<StartTime>, Range),
     /// The store falls silent.
     Lost,
     /// The store answers again, long enough for every grace to end.
@@ -80,7 +80,7 @@
 /// What the naive version knows.
 #[derive(Clone, Debug, PartialEq)]
 struct Known {
-    born: Option<Born>,
+    born: Option<StartTime>,
     state: State,
     held: Range,
     lapsing: bool,
--- a/crates/core/tests/support/registry.rs
+++ b/crates/core/tests/support/registry.rs
@@ -17,6 +17,6 @@
         slots: 4,
         accelerator: None,
         held: Range::default(),
-        cold: Span(0),
+        warm_up: Span(0),
     }
 }
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -13,8 +13,8 @@
 use jujube_core::pipeline::document::Document;
 use jujube_core::pipeline::path::Path;
 use jujube_core::pipeline::placement::Handover;
-use jujube_core::pipeline::server::Born;
 use jujube_core::pipeline::server::Server;
+use jujube_core::pipeline::server::StartTime;
 use jujube_store::kv::Value;
 
 /// The names of headers.
@@ -77,7 +77,7 @@
     /// How many times slower than usual it is.
     pub slowness: f64,
     /// When it started, by its own clock; `None` where it does not tell.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
 }
 
 /// A platform's names, as functions between its wire and the router's types.
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -11,8 +11,8 @@
 use jujube_core::pipeline::outlier::Tally;
 use jujube_core::pipeline::reports::Fragment;
 use jujube_core::pipeline::reports::Scope;
-use jujube_core::pipeline::server::Born;
 use jujube_core::pipeline::server::Incarnation;
+use jujube_core::pipeline::server::StartTime;
 use jujube_core::pipeline::summary::Summary;
 use jujube_core::time::Span;
 use serde::Deserialize;
@@ -37,14 +37,14 @@
     fn from(incarnation: &Incarnation) -> Self {
         Self {
             server: incarnation.server.to_string(),
-            born: incarnation.born.map(|born| born.0),
+            born: incarnation.started_at.map(|born| born.0),
         }
     }
 }
 
 impl From<Start> for Incarnation {
     fn from(start: Start) -> Self {
-        Self::new(start.server.into(), start.born.map(Born))
+        Self::new(start.server.into(), start.born.map(StartTime))
     }
 }
 
--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -95,7 +95,7 @@
     let body = tokio::time::timeout(ANSWER, asked).await??;
     let report = D::report(&body)?;
     state.pulse.borrow_mut().record_answer(began);
-    if server.is_denied_by(report.born) {
+    if server.conflicts_with(report.born) {
         learn_restart(state, server, &report);
         anyhow::bail!("restarted");
     }
