--- a/crates/core/src/pipeline/chooser/mod.rs
+++ b/crates/core/src/pipeline/chooser/mod.rs
@@ -120,13 +120,13 @@
 
     /// Returns the cost of a server's suspicions, refusals and failures, in milliseconds.
     fn penalty_ms(&self, server: &Incarnation) -> f64 {
-        if self.suspicion.holds(server) || self.avoid.contains(server) {
+        if self.suspicion.is_suspected(server) || self.avoid.contains(server) {
             return SUSPECT_MS;
         }
-        if self.outliers.holds(server) || self.suspicion.is_doubted(server) {
+        if self.outliers.contains(server) || self.suspicion.is_widely_suspected(server) {
             return OUTLIER_MS;
         }
-        match self.suspicion.told(server) {
+        match self.suspicion.peer_reports(server) {
             0 => 0.0,
             _ => REPORTED_SUSPECT_MS,
         }
--- a/crates/core/src/pipeline/chooser/search.rs
+++ b/crates/core/src/pipeline/chooser/search.rs
@@ -80,7 +80,10 @@
         let model = &self.model;
         let layers = f64::from(model.layers.max(1));
         let used = context.load.tokens(&candidate.server);
-        let is_full = context.load.refusals.holds(context.now, &candidate.server);
+        let is_full = context
+            .load
+            .refusals
+            .contains(context.now, &candidate.server);
         let capacity = if is_full {
             0.0
         } else {
--- a/crates/core/src/pipeline/mod.rs
+++ b/crates/core/src/pipeline/mod.rs
@@ -5,29 +5,28 @@
 //! which path a request takes ([`chooser`]), who may be trusted with work ([`roster`],
 //! [`suspicion`]), and what a caller sees when a part of the path dies ([`relay`]).
 
-pub mod allowance;
 pub mod assignment;
 pub mod attempts;
 pub mod backlog;
-pub mod belief;
-pub mod board;
+pub mod budget;
 pub mod cell;
 pub mod chooser;
 pub mod deputy;
 pub mod document;
 pub mod era;
+pub mod liveness;
 pub mod load;
+pub mod local_health;
 pub mod model;
 pub mod outage;
 pub mod outlier;
 pub mod path;
 pub mod placement;
-pub mod pulse;
 pub mod refusals;
 pub mod relay;
+pub mod reports;
 pub mod reserve;
 pub mod roster;
-
 pub mod server;
 pub mod summary;
 pub mod suspicion;
--- a/crates/core/src/pipeline/summary.rs
+++ b/crates/core/src/pipeline/summary.rs
@@ -73,8 +73,8 @@
         }
         for (server, tally) in &other.outcomes {
             let sum = self.outcomes.entry(server.clone()).or_default();
-            sum.good += tally.good;
-            sum.bad += tally.bad;
+            sum.succeeded += tally.succeeded;
+            sum.failed += tally.failed;
         }
         for (server, slowness) in &other.slowness {
             let max = self.slowness.entry(server.clone()).or_default();
--- a/crates/core/tests/belief.rs
+++ b/crates/core/tests/belief.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 
 use jujube_core::pipeline::attempts::Attempts;
-use jujube_core::pipeline::attempts::Outlook;
-use jujube_core::pipeline::belief::Belief;
-use jujube_core::pipeline::belief::End;
-use jujube_core::pipeline::pulse::Pulse;
+use jujube_core::pipeline::attempts::Permission;
+use jujube_core::pipeline::liveness::Evidence;
+use jujube_core::pipeline::liveness::Liveness;
+use jujube_core::pipeline::local_health::LocalHealth;
 use jujube_core::pipeline::roster::Roster;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::server::State;
@@ -25,15 +25,15 @@
         attempts.begin(server.into());
     }
     assert_eq!(
-        attempts.outlook(2, |_| Belief::Ended(End::Silent)),
-        Outlook::Open
+        attempts.outlook(2, |_| Liveness::Ended(Evidence::Silent)),
+        Permission::Allowed
     );
 
     attempts.begin("d".into());
 
     assert_eq!(
-        attempts.outlook(2, |_| Belief::Ended(End::Silent)),
-        Outlook::Closed
+        attempts.outlook(2, |_| Liveness::Ended(Evidence::Silent)),
+        Permission::Denied
     );
 }
 
@@ -47,13 +47,13 @@
     attempts.left(&"leaver".into());
     attempts.begin("alive".into());
     let gone = |id: &Incarnation| match &*id.server.to_string() {
-        "leaver" => Belief::Ended(End::Unregistered),
-        _ => Belief::Alive,
+        "leaver" => Liveness::Ended(Evidence::Unregistered),
+        _ => Liveness::Alive,
     };
 
     attempts.settle(Instant(5_000), gone);
 
-    assert_eq!(attempts.outlook(2, gone), Outlook::Closed);
+    assert_eq!(attempts.outlook(2, gone), Permission::Denied);
 }
 
 /// The request goes on elsewhere: its server died, and is found dead half a second later.
@@ -64,7 +64,7 @@
         attempts.begin(server.into());
     }
     attempts.lost(Instant(1_000), &"dead".into());
-    let (dead, alive) = (Belief::Ended(End::Refuses), Belief::Alive);
+    let (dead, alive) = (Liveness::Ended(Evidence::Refuses), Liveness::Alive);
 
     attempts.settle(Instant(1_600), |id| {
         if *id == "dead".into() { dead } else { alive }
@@ -72,7 +72,7 @@
 
     assert_eq!(
         attempts.outlook(2, |_| alive),
-        Outlook::Open,
+        Permission::Allowed,
         "also when it starts again"
     );
 }
@@ -86,18 +86,18 @@
     }
     attempts.lost(Instant(1_000), &"leaver".into());
 
-    attempts.settle(Instant(2_500), |_| Belief::Ended(End::Unregistered));
+    attempts.settle(Instant(2_500), |_| Liveness::Ended(Evidence::Unregistered));
 
-    let alive = |_: &Incarnation| Belief::Alive;
-    assert_eq!(attempts.outlook(2, alive), Outlook::Closed);
+    let alive = |_: &Incarnation| Liveness::Alive;
+    assert_eq!(attempts.outlook(2, alive), Permission::Denied);
 }
 
-fn beaten(until: u64) -> Pulse {
-    let mut pulse = Pulse::new(Span(25));
+fn beaten(until: u64) -> LocalHealth {
+    let mut local_health = LocalHealth::new(Span(25));
     for now in (25..=until).step_by(25) {
-        pulse.beat(Instant(now));
+        local_health.tick(Instant(now));
     }
-    pulse
+    local_health
 }
 
 /// Callers' requests ran on three servers of a route that allows two, all of them alive.
@@ -109,19 +109,23 @@
 #[test]
 fn a_server_that_is_silent_to_a_late_process_has_not_ended() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = beaten(1_000);
-    pulse.beat(Instant(3_000));
-    suspicion.accuse(Instant(3_010), &"a".into());
+    let mut local_health = beaten(1_000);
+    local_health.tick(Instant(3_000));
+    suspicion.suspect(Instant(3_010), &"a".into());
     for now in (3_025..3_600).step_by(25) {
-        pulse.beat(Instant(now));
+        local_health.tick(Instant(now));
     }
 
-    assert!(suspicion.end(Instant(3_600), &"a".into(), &pulse).is_none());
-    suspicion.refused(&"a".into());
-    suspicion.broke(Instant(3_000), &"a".into());
+    assert!(
+        suspicion
+            .evidence(Instant(3_600), &"a".into(), &local_health)
+            .is_none()
+    );
+    suspicion.set_refusing(&"a".into());
+    suspicion.connection_broken(Instant(3_000), &"a".into());
     assert_eq!(
-        suspicion.end(Instant(3_600), &"a".into(), &pulse),
-        Some(End::Refuses),
+        suspicion.evidence(Instant(3_600), &"a".into(), &local_health),
+        Some(Evidence::Refuses),
         "nobody listens, and what was under way there broke off"
     );
 }
@@ -133,15 +137,18 @@
 #[test]
 fn a_server_that_refuses_new_connections_has_not_ended_by_that() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = beaten(9_000);
-    suspicion.accuse(Instant(1_500), &"a".into());
-    suspicion.refused(&"a".into());
-    pulse.answered(Instant(8_900));
+    let mut local_health = beaten(9_000);
+    suspicion.suspect(Instant(1_500), &"a".into());
+    suspicion.set_refusing(&"a".into());
+    local_health.record_answer(Instant(8_900));
 
-    assert_eq!(suspicion.end(Instant(9_000), &"a".into(), &pulse), None);
-    suspicion.broke(Instant(900), &"a".into());
     assert_eq!(
-        suspicion.end(Instant(9_000), &"a".into(), &pulse),
+        suspicion.evidence(Instant(9_000), &"a".into(), &local_health),
+        None
+    );
+    suspicion.connection_broken(Instant(900), &"a".into());
+    assert_eq!(
+        suspicion.evidence(Instant(9_000), &"a".into(), &local_health),
         None,
         "what broke off before it refused says nothing of it"
     );
@@ -153,15 +160,15 @@
     let (mut suspicion, mut roster) = (Suspicion::default(), Roster::default());
     let id = Incarnation::from("a");
     roster.seen(Instant(0), server("a", State::Draining));
-    suspicion.accuse(Instant(3_000), &id);
-    suspicion.refused(&id);
-    suspicion.broke(Instant(3_100), &id);
+    suspicion.suspect(Instant(3_000), &id);
+    suspicion.set_refusing(&id);
+    suspicion.connection_broken(Instant(3_100), &id);
     let believed =
-        |roster: &Roster| Belief::of(&id, Instant(9_000), roster, &suspicion, &beaten(9_000));
+        |roster: &Roster| Liveness::assess(&id, Instant(9_000), roster, &suspicion, &beaten(9_000));
 
-    assert_eq!(believed(&roster), Belief::Suspected);
+    assert_eq!(believed(&roster), Liveness::Suspected);
     roster.removed(Instant(9_000), &id.server);
-    assert_eq!(believed(&roster), Belief::Ended(End::Unregistered));
+    assert_eq!(believed(&roster), Liveness::Ended(Evidence::Unregistered));
 }
 
 /// A request may run on a third server of a route that allows two, all of them alive.
@@ -174,30 +181,49 @@
     for id in ["leaver", "dead"] {
         roster.seen(Instant(0), server(id, State::Ready));
     }
-    suspicion.accuse(Instant(1_000), &"dead".into());
-    let mut pulse = beaten(5_000);
-    pulse.answered(Instant(1_000));
+    suspicion.suspect(Instant(1_000), &"dead".into());
+    let mut local_health = beaten(5_000);
+    local_health.record_answer(Instant(1_000));
 
     for id in ["leaver", "dead"] {
         roster.removed(Instant(4_000), &id.into());
     }
-    roster.tell_dead(Instant(4_980), &suspicion, &pulse);
-
-    let believed = |id: &str| Belief::of(&id.into(), Instant(5_000), &roster, &suspicion, &pulse);
-    assert_eq!(believed("leaver"), Belief::Alive);
-    assert_eq!(believed("dead"), Belief::Ended(End::Unregistered));
-    assert_eq!(believed("never-known"), Belief::Ended(End::Unregistered));
+    roster.tell_dead(Instant(4_980), &suspicion, &local_health);
+
+    let believed = |id: &str| {
+        Liveness::assess(
+            &id.into(),
+            Instant(5_000),
+            &roster,
+            &suspicion,
+            &local_health,
+        )
+    };
+    assert_eq!(believed("leaver"), Liveness::Alive);
+    assert_eq!(believed("dead"), Liveness::Ended(Evidence::Unregistered));
+    assert_eq!(
+        believed("never-known"),
+        Liveness::Ended(Evidence::Unregistered)
+    );
 }
 
 #[test]
 fn a_server_that_is_silent_to_a_process_on_time_has_ended_after_half_a_second() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = beaten(2_000);
-    suspicion.accuse(Instant(1_500), &"a".into());
-    pulse.answered(Instant(1_700));
+    let mut local_health = beaten(2_000);
+    suspicion.suspect(Instant(1_500), &"a".into());
+    local_health.record_answer(Instant(1_700));
 
-    assert!(suspicion.end(Instant(1_999), &"a".into(), &pulse).is_none());
-    assert!(suspicion.end(Instant(2_000), &"a".into(), &pulse).is_some());
+    assert!(
+        suspicion
+            .evidence(Instant(1_999), &"a".into(), &local_health)
+            .is_none()
+    );
+    assert!(
+        suspicion
+            .evidence(Instant(2_000), &"a".into(), &local_health)
+            .is_some()
+    );
 }
 
 /// Callers' requests ran on three servers of a route that allows two, all of them alive.
@@ -208,13 +234,21 @@
 #[test]
 fn a_server_that_is_silent_while_nobody_answers_has_not_ended() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = beaten(3_000);
-    pulse.answered(Instant(1_400));
-    suspicion.accuse(Instant(1_500), &"a".into());
+    let mut local_health = beaten(3_000);
+    local_health.record_answer(Instant(1_400));
+    suspicion.suspect(Instant(1_500), &"a".into());
 
-    assert!(suspicion.end(Instant(3_000), &"a".into(), &pulse).is_none());
-    pulse.answered(Instant(2_900));
-    assert!(suspicion.end(Instant(3_000), &"a".into(), &pulse).is_some());
+    assert!(
+        suspicion
+            .evidence(Instant(3_000), &"a".into(), &local_health)
+            .is_none()
+    );
+    local_health.record_answer(Instant(2_900));
+    assert!(
+        suspicion
+            .evidence(Instant(3_000), &"a".into(), &local_health)
+            .is_some()
+    );
 }
 
 /// A hundred entries ask a server that they all suspect about as often as a single one would.
@@ -225,8 +259,8 @@
 fn many_entries_ask_a_suspect_no_more_often_than_one() {
     let asked = |others: u64| {
         let mut suspicion = Suspicion::default();
-        suspicion.accuse(Instant(0), &"a".into());
-        suspicion.set_told(Instant(1), [("a".into(), others)].into());
+        suspicion.suspect(Instant(0), &"a".into());
+        suspicion.set_peer_reports(Instant(1), [("a".into(), others)].into());
         let times = (0..60_000).filter(|now| !suspicion.due(Instant(*now)).is_empty());
         times.count() as u64
     };
@@ -241,12 +275,12 @@
 #[test]
 fn a_suspect_that_others_trust_again_is_asked_at_once() {
     let mut suspicion = Suspicion::default();
-    suspicion.accuse(Instant(0), &"a".into());
-    suspicion.set_told(Instant(1), [("a".into(), 50)].into());
+    suspicion.suspect(Instant(0), &"a".into());
+    suspicion.set_peer_reports(Instant(1), [("a".into(), 50)].into());
     suspicion.due(Instant(200));
     assert!(suspicion.due(Instant(3_000)).is_empty());
 
-    suspicion.set_told(Instant(3_000), BTreeMap::new());
+    suspicion.set_peer_reports(Instant(3_000), BTreeMap::new());
 
     assert_eq!(suspicion.due(Instant(3_000)), vec!["a".into()]);
 }
@@ -254,7 +288,7 @@
 #[test]
 fn a_suspect_is_asked_less_and_less_often() {
     let mut suspicion = Suspicion::default();
-    suspicion.accuse(Instant(0), &"a".into());
+    suspicion.suspect(Instant(0), &"a".into());
 
     let asked = (0..10_000).filter(|now| !suspicion.due(Instant(*now)).is_empty());
 
@@ -265,37 +299,37 @@
 #[test]
 fn silence_that_nobody_else_meets_gives_up_no_layers_at_once() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = Pulse::new(Span(25));
-    suspicion.accuse(Instant(0), &"a".into());
-    pulse.answered(Instant(10));
-    pulse.beat(Instant(1_000));
+    let mut local_health = LocalHealth::new(Span(25));
+    suspicion.suspect(Instant(0), &"a".into());
+    local_health.record_answer(Instant(10));
+    local_health.tick(Instant(1_000));
 
-    assert!(!suspicion.is_given_up(Instant(1_000), &"a".into(), &pulse));
-    suspicion.set_told(Instant(1_000), BTreeMap::from([("a".into(), 1)]));
+    assert!(!suspicion.is_replaceable(Instant(1_000), &"a".into(), &local_health));
+    suspicion.set_peer_reports(Instant(1_000), BTreeMap::from([("a".into(), 1)]));
 
     assert!(
-        !suspicion.is_given_up(Instant(1_000), &"a".into(), &pulse),
+        !suspicion.is_replaceable(Instant(1_000), &"a".into(), &local_health),
         "late itself"
     );
-    let mut pulse = Pulse::new(Span(25));
-    pulse.answered(Instant(10));
+    let mut local_health = LocalHealth::new(Span(25));
+    local_health.record_answer(Instant(10));
     for beat in 0..=40 {
-        pulse.beat(Instant(beat * 25));
+        local_health.tick(Instant(beat * 25));
     }
-    assert!(suspicion.is_given_up(Instant(1_000), &"a".into(), &pulse));
+    assert!(suspicion.is_replaceable(Instant(1_000), &"a".into(), &local_health));
 }
 
 /// Guards against layers that stay without a holder because only one entry uses them.
 #[test]
 fn silence_that_lasts_gives_up_layers_also_on_one_entrys_word() {
     let mut suspicion = Suspicion::default();
-    let mut pulse = Pulse::new(Span(25));
-    suspicion.accuse(Instant(0), &"a".into());
-    pulse.answered(Instant(10));
+    let mut local_health = LocalHealth::new(Span(25));
+    suspicion.suspect(Instant(0), &"a".into());
+    local_health.record_answer(Instant(10));
     for beat in 0..=80 {
-        pulse.beat(Instant(beat * 25));
+        local_health.tick(Instant(beat * 25));
     }
 
-    assert!(!suspicion.is_given_up(Instant(1_999), &"a".into(), &pulse));
-    assert!(suspicion.is_given_up(Instant(2_000), &"a".into(), &pulse));
+    assert!(!suspicion.is_replaceable(Instant(1_999), &"a".into(), &local_health));
+    assert!(suspicion.is_replaceable(Instant(2_000), &"a".into(), &local_health));
 }
--- a/crates/core/tests/incarnations.rs
+++ b/crates/core/tests/incarnations.rs
@@ -13,24 +13,24 @@
 use jujube_core::pipeline::outlier::Outliers;
 use jujube_core::pipeline::roster::Effect;
 use jujube_core::pipeline::roster::Roster;
-use jujube_core::pipeline::server::Born;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::server::Server;
+use jujube_core::pipeline::server::StartTime;
 use jujube_core::pipeline::server::State;
 use jujube_core::pipeline::suspicion::Suspicion;
 use jujube_core::time::Instant;
 use jujube_core::time::Span;
 use proptest::prelude::*;
 
-const EARLIER: Option<Born> = Some(Born(1_000));
-const LATER: Option<Born> = Some(Born(9_000));
+const EARLIER: Option<StartTime> = Some(StartTime(1_000));
+const LATER: Option<StartTime> = Some(StartTime(9_000));
 const HELD: Range = Range { start: 0, end: 8 };
 
-fn start(born: Option<Born>) -> Incarnation {
+fn start(born: Option<StartTime>) -> Incarnation {
     Incarnation::new("a".into(), born)
 }
 
-fn server(born: Option<Born>, state: State) -> Server {
+fn server(born: Option<StartTime>, state: State) -> Server {
     let held = if born == EARLIER {
         HELD
     } else {
@@ -46,13 +46,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Word {
     /// Its registration.
-    Registered(Option<Born>, State),
+    Registered(Option<StartTime>, State),
     /// Its registration cannot be read.
     Unreadable,
     /// Its registration was removed.
     Removed,
     /// It says itself what it holds.
-    Reported(Option<Born>, Range),
+    Reported(Option<StartTime>, Range),
     /// The store falls silent.
     Lost,
     /// The store answers again, long enough for every grace to end.
@@ -80,7 +80,7 @@
 /// What the naive version knows.
 #[derive(Clone, Debug, PartialEq)]
 struct Known {
-    born: Option<Born>,
+    born: Option<StartTime>,
     state: State,
     held: Range,
     lapsing: bool,
@@ -194,20 +194,20 @@
     load.record_slowness(now, &earlier, 5.0);
     load.refusals.refused(now, &earlier);
     load.backlog.add(now, &earlier, 400.0);
-    suspicion.accuse(now, &earlier);
+    suspicion.suspect(now, &earlier);
     for _ in 0..5 {
         outliers.failed(now, &earlier);
     }
-    outliers.judge(now);
+    outliers.evaluate(now);
 
     assert_eq!(load.requests(&later), 0);
     assert_eq!(load.slowness(now, &later), 1.0);
-    assert!(!load.refusals.holds(now, &later));
+    assert!(!load.refusals.contains(now, &later));
     assert_eq!(load.backlog.wait_ms(now, &later), 0.0);
-    assert!(!suspicion.holds(&later));
-    assert!(!outliers.holds(&later));
+    assert!(!suspicion.is_suspected(&later));
+    assert!(!outliers.contains(&later));
     assert!(
-        outliers.holds(&earlier),
+        outliers.contains(&earlier),
         "the record is the earlier start's"
     );
 }
--- a/crates/core/tests/moves.rs
+++ b/crates/core/tests/moves.rs
@@ -120,7 +120,7 @@
     let old = old.path;
     let dead = old.parts()[1].server.clone();
     let mut suspicion = Suspicion::default();
-    suspicion.accuse(NOW, &dead);
+    suspicion.suspect(NOW, &dead);
     let mut draws = StdRng::seed_from_u64(7);
     let mut prefill = BTreeMap::new();
     for _ in 0..ENTRIES {
@@ -181,7 +181,7 @@
         .unwrap()
         .path;
     let last = old.parts().last().unwrap().server.clone();
-    suspicion.accuse(NOW, &last);
+    suspicion.suspect(NOW, &last);
 
     let chosen = fleet.recover(DEMAND, &context(&load, &suspicion, &local_zone), &old, true);
 
--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -9,9 +9,6 @@
 
 use jujube_core::layer::Range;
 use jujube_core::name::Zone;
-use jujube_core::pipeline::board::Board;
-use jujube_core::pipeline::board::Portion;
-use jujube_core::pipeline::board::Scope;
 use jujube_core::pipeline::chooser::Context;
 use jujube_core::pipeline::chooser::Demand;
 use jujube_core::pipeline::chooser::Fleet;
@@ -23,6 +20,9 @@
 use jujube_core::pipeline::path::Path;
 use jujube_core::pipeline::placement::Holder;
 use jujube_core::pipeline::placement::plan;
+use jujube_core::pipeline::reports::Fragment;
+use jujube_core::pipeline::reports::Reports;
+use jujube_core::pipeline::reports::Scope;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::summary::Summary;
 use jujube_core::pipeline::suspicion::Suspicion;
@@ -128,8 +128,8 @@
         .map(|candidate| (candidate.server.clone(), 1));
     let first = &before.parts()[0].server;
 
-    world.suspicion.set_told(Instant(0), all.collect());
-    assert!(!world.suspicion.is_doubted(first));
+    world.suspicion.set_peer_reports(Instant(0), all.collect());
+    assert!(!world.suspicion.is_widely_suspected(first));
     assert_eq!(
         fleet
             .choose(DEMAND, &world.context(&local_zone))
@@ -140,8 +140,8 @@
 
     world
         .suspicion
-        .set_told(Instant(0), [(first.clone(), 2)].into());
-    assert!(world.suspicion.is_doubted(first));
+        .set_peer_reports(Instant(0), [(first.clone(), 2)].into());
+    assert!(world.suspicion.is_widely_suspected(first));
     assert!(
         !fleet
             .choose(DEMAND, &world.context(&local_zone))
@@ -188,7 +188,7 @@
 
     for part in first.path.parts() {
         let mut world = World::default();
-        world.suspicion.accuse(Instant(0), &part.server);
+        world.suspicion.suspect(Instant(0), &part.server);
         let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
         assert!(!choice.path.contains(&part.server));
         assert!(!choice.is_last_resort());
@@ -207,7 +207,7 @@
 
     let choice = fleet.choose(DEMAND, &world.context(&local_zone)).unwrap();
     assert!(!choice.path.contains(&server));
-    assert!(!world.load.refusals.holds(Instant(10_000), &server));
+    assert!(!world.load.refusals.contains(Instant(10_000), &server));
 }
 
 #[test]
@@ -235,7 +235,7 @@
     let parts = first.path.parts();
     for dead in &parts[1..] {
         let mut world = World::default();
-        world.suspicion.accuse(Instant(0), &dead.server);
+        world.suspicion.suspect(Instant(0), &dead.server);
 
         let repaired = fleet.repair(DEMAND, &world.context(&local_zone), &first.path);
 
@@ -403,9 +403,15 @@
         usage: [("s".into(), Usage { tokens, requests })].into(),
         ..Summary::default()
     };
-    let (mut load, mut board) = (Load::default(), Board::default());
-    let mut receive = |board: &mut Board, now, sender, report| {
-        board.hear(Instant(now), sender, Scope::Own, Portion::default(), report);
+    let (mut load, mut board) = (Load::default(), Reports::default());
+    let mut receive = |board: &mut Reports, now, sender, report| {
+        board.receive(
+            Instant(now),
+            sender,
+            Scope::Own,
+            Fragment::default(),
+            report,
+        );
         let others = board.others(Instant(now));
         load.set_others(others.entries, others.usage);
         (
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Routes, keys and the share of retries of a configuration that is one document.
 
-use jujube_core::pipeline::allowance::Allowance;
-use jujube_core::pipeline::allowance::Terms;
+use jujube_core::pipeline::budget::Budget;
+use jujube_core::pipeline::budget::Policy;
 use jujube_core::pipeline::document::Account;
 use jujube_core::pipeline::document::Document;
 use jujube_core::pipeline::document::Kind;
@@ -23,7 +23,7 @@
         prefix: prefix.into(),
         kind: Kind::Idempotent,
         timeout: Span(1_000),
-        target: Span(150),
+        latency_target: Span(150),
         gap_target: Span(200),
         priority: 1,
         targets: targets.collect(),
@@ -80,7 +80,7 @@
 fn weights_divide_requests() {
     let route = route("split", "/", &[("new", 9), ("old", 1)]);
 
-    let old = (0..1_000).filter(|draw| &*route.target(*draw).unwrap().0 == "old");
+    let old = (0..1_000).filter(|draw| &*route.pick_target(*draw).unwrap().0 == "old");
 
     assert_eq!(old.count(), 100);
 }
@@ -89,7 +89,7 @@
 fn weights_of_nothing_leave_the_first_target() {
     let route = route("split", "/", &[("new", 0), ("old", 0)]);
 
-    assert_eq!(&*route.target(5).unwrap().0, "new");
+    assert_eq!(&*route.pick_target(5).unwrap().0, "new");
 }
 
 #[test]
@@ -117,10 +117,10 @@
         entries in 1_u64..60,
         gaps in proptest::collection::vec(0_u64..120, 50..300),
     ) {
-        let terms = Terms { ratio: 0.2, slack: 100.0, window: Span(10_000) };
+        let terms = Policy { ratio: 0.2, slack: 100.0, window: Span(10_000) };
         let share = terms.slack / entries as f64;
         let all = entries as f64;
-        let mut allowance = Allowance::default();
+        let mut allowance = Budget::default();
         let mut requests = Vec::new();
         let mut extra = Vec::new();
         let mut now = 0;
--- a/crates/core/tests/third_server.rs
+++ b/crates/core/tests/third_server.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 
 use jujube_core::pipeline::attempts::Attempts;
-use jujube_core::pipeline::attempts::Outlook;
-use jujube_core::pipeline::belief::Belief;
-use jujube_core::pipeline::pulse::Pulse;
+use jujube_core::pipeline::attempts::Permission;
+use jujube_core::pipeline::liveness::Liveness;
+use jujube_core::pipeline::local_health::LocalHealth;
 use jujube_core::pipeline::roster::Roster;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::server::State;
@@ -64,7 +64,7 @@
     truths: BTreeMap<Incarnation, Truth>,
     roster: Roster,
     suspicion: Suspicion,
-    pulse: Pulse,
+    local_health: LocalHealth,
     requests: Vec<Request>,
     joined: u64,
     /// Runs beyond the limit that were allowed since a server had ended.
@@ -79,7 +79,7 @@
             truths: BTreeMap::new(),
             roster: Roster::default(),
             suspicion: Suspicion::default(),
-            pulse: Pulse::new(Span(STEP)),
+            local_health: LocalHealth::new(Span(STEP)),
             requests: Vec::new(),
             joined: 0,
             excused: 0,
@@ -118,13 +118,14 @@
         if self.is(0.01) {
             self.now = self.later(2_000);
         }
-        self.pulse.beat(self.now);
+        self.local_health.tick(self.now);
         self.trouble();
         self.exits();
         self.ask();
         for number in 0..self.requests.len() {
-            let (suspicion, pulse, now) = (&self.suspicion, &self.pulse, self.now);
-            let belief = |id: &Incarnation| Belief::of(id, now, &self.roster, suspicion, pulse);
+            let (suspicion, local_health, now) = (&self.suspicion, &self.local_health, self.now);
+            let belief =
+                |id: &Incarnation| Liveness::assess(id, now, &self.roster, suspicion, local_health);
             self.requests[number].attempts.settle(now, belief);
             self.advance(number);
         }
@@ -171,13 +172,13 @@
             64..=67 if !truth.is_unheard => self.break_runs(&id, None),
             // It is suspected for no reason.
             68..=73 => {
-                self.suspicion.accuse(self.now, &id);
+                self.suspicion.suspect(self.now, &id);
             }
             // Its registration goes, and comes back, though it lives. That of one that drains goes when it exits.
             74..=75 if !truth.is_draining => {
                 self.roster.removed(self.now, &id.server);
                 self.roster
-                    .tell_dead(self.now, &self.suspicion, &self.pulse);
+                    .tell_dead(self.now, &self.suspicion, &self.local_health);
             }
             76..=79 if truth.exits.is_none() => {
                 self.roster.seen(self.now, server(id, State::Ready));
@@ -204,15 +205,15 @@
         let now = ended.unwrap_or(self.now);
         // It is asked at once, and suspected if it does not answer.
         if self.truths[id].is_refusing {
-            self.suspicion.accuse(now, id);
-            self.suspicion.refused(id);
+            self.suspicion.suspect(now, id);
+            self.suspicion.set_refusing(id);
         }
         for request in &mut self.requests {
             let runs = request.runs.iter_mut();
             for run in runs.filter(|run| run.server == *id && run.ended.is_none()) {
                 run.ended = Some(now);
                 request.attempts.lost(now, id);
-                self.suspicion.broke(now, id);
+                self.suspicion.connection_broken(now, id);
             }
         }
     }
@@ -228,7 +229,7 @@
             if truth.unregisters.is_some_and(|at| at <= self.now) {
                 self.roster.removed(self.now, &id.server);
                 self.roster
-                    .tell_dead(self.now, &self.suspicion, &self.pulse);
+                    .tell_dead(self.now, &self.suspicion, &self.local_health);
                 let roster = &self.roster;
                 self.suspicion.retain(|id| roster.get(id).is_some());
             }
@@ -238,14 +239,16 @@
 
     /// The entry asks suspects; all but the dark ones answer or refuse.
     fn ask(&mut self) {
-        let was_late = self.pulse.was_late(Instant(self.now.0 - 200), self.now);
+        let was_late = self
+            .local_health
+            .was_delayed(Instant(self.now.0 - 200), self.now);
         for id in self.suspicion.due(self.now) {
             let truth = self.truths[&id];
             match truth {
                 Truth { is_dark: true, .. } => {}
                 Truth {
                     is_refusing: true, ..
-                } => self.suspicion.refused(&id),
+                } => self.suspicion.set_refusing(&id),
                 _ if was_late => {}
                 _ => {
                     self.suspicion.clear(&id);
@@ -253,7 +256,7 @@
             }
         }
         if !was_late {
-            self.pulse.answered(self.now);
+            self.local_health.record_answer(self.now);
         }
     }
 
@@ -265,11 +268,11 @@
             .map(|run| run.server.clone());
         let choice: f64 = self.random.random();
         if let Some(id) = &running {
-            let is_found_dead = self.suspicion.holds(id) && self.truths[id].is_dark;
+            let is_found_dead = self.suspicion.is_suspected(id) && self.truths[id].is_dark;
             if !is_found_dead && choice > 0.01 {
                 return;
             }
-            if self.outlook(number) != Outlook::Open {
+            if self.outlook(number) != Permission::Allowed {
                 return;
             }
             let (request, now) = (&mut self.requests[number], self.now);
@@ -285,14 +288,16 @@
                 return;
             }
         }
-        if choice < 0.3 && self.outlook(number) == Outlook::Open {
+        if choice < 0.3 && self.outlook(number) == Permission::Allowed {
             self.send(number);
         }
     }
 
-    fn outlook(&self, number: usize) -> Outlook {
-        let (suspicion, pulse) = (&self.suspicion, &self.pulse);
-        let belief = |id: &Incarnation| Belief::of(id, self.now, &self.roster, suspicion, pulse);
+    fn outlook(&self, number: usize) -> Permission {
+        let (suspicion, local_health) = (&self.suspicion, &self.local_health);
+        let belief = |id: &Incarnation| {
+            Liveness::assess(id, self.now, &self.roster, suspicion, local_health)
+        };
         self.requests[number].attempts.outlook(LIMIT, belief)
     }
 
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -6,13 +6,13 @@
 use jujube_core::fence::Token;
 use jujube_core::layer::Range;
 use jujube_core::name::Zone;
-use jujube_core::pipeline::board::Portion;
-use jujube_core::pipeline::board::Scope;
 use jujube_core::pipeline::cell::Id;
 use jujube_core::pipeline::load::Usage;
 use jujube_core::pipeline::outlier::Tally;
-use jujube_core::pipeline::server::Born;
+use jujube_core::pipeline::reports::Fragment;
+use jujube_core::pipeline::reports::Scope;
 use jujube_core::pipeline::server::Incarnation;
+use jujube_core::pipeline::server::StartTime;
 use jujube_core::pipeline::summary::Summary;
 use jujube_core::time::Span;
 use serde::Deserialize;
@@ -37,14 +37,14 @@
     fn from(incarnation: &Incarnation) -> Self {
         Self {
             server: incarnation.server.to_string(),
-            born: incarnation.born.map(|born| born.0),
+            born: incarnation.started_at.map(|born| born.0),
         }
     }
 }
 
 impl From<Start> for Incarnation {
     fn from(start: Start) -> Self {
-        Self::new(start.server.into(), start.born.map(Born))
+        Self::new(start.server.into(), start.born.map(StartTime))
     }
 }
 
@@ -79,8 +79,8 @@
 impl From<&Tally> for Fact {
     fn from(tally: &Tally) -> Self {
         Self::Ended {
-            good: tally.good as f32,
-            bad: tally.bad as f32,
+            good: tally.succeeded as f32,
+            bad: tally.failed as f32,
         }
     }
 }
@@ -138,7 +138,7 @@
     /// Of whom it is.
     pub(super) scope: Scope,
     /// Which portion of the word it is.
-    pub(super) portion: Portion,
+    pub(super) portion: Fragment,
     /// What it says.
     pub(super) summary: Summary,
 }
@@ -264,7 +264,7 @@
         entry: message.entry,
         zone: message.zone.into(),
         scope: message.whose.into(),
-        portion: Portion {
+        portion: Fragment {
             number: message.number,
             last: message.last,
         },
@@ -283,8 +283,8 @@
         }
         Fact::Ended { good, bad } => {
             let tally = Tally {
-                good: figure(good)?,
-                bad: figure(bad)?,
+                succeeded: figure(good)?,
+                failed: figure(bad)?,
             };
             summary.outcomes.insert(server, tally);
         }
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use jujube_core::layer::Range;
-use jujube_core::pipeline::board::Scope;
 use jujube_core::pipeline::cell;
-use jujube_core::pipeline::cell::Place;
+use jujube_core::pipeline::cell::Location;
+use jujube_core::pipeline::reports::Scope;
 use jujube_core::pipeline::roster::Effect;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::summary::Summary;
@@ -59,20 +59,20 @@
     let mut told_rest = told;
     loop {
         let urgent = state.is_news.notified();
-        let is_urgent = tokio::time::timeout(millis(cell::TELL), urgent).await;
+        let is_urgent = tokio::time::timeout(millis(cell::REPORT_INTERVAL), urgent).await;
         if is_urgent.is_ok() {
             let gap = URGENT_GAP.0.saturating_sub(clock::now().since(told).0);
             tokio::time::sleep(millis(Span(gap))).await;
         }
         told = clock::now();
         sum_up(&state);
-        for server in state.outliers.borrow_mut().judge(told) {
+        for server in state.outliers.borrow_mut().evaluate(told) {
             log::info!("event=outlier server={server}");
         }
         let neighbours = state.peers.directory.borrow().neighbours();
         tell(&state, &socket, &neighbours, &Scope::Own, &own(&state)).await;
         let is_speaker = state.peers.directory.borrow().is_speaker(told);
-        if !is_speaker || told.since(told_rest) < cell::TELL {
+        if !is_speaker || told.since(told_rest) < cell::REPORT_INTERVAL {
             continue;
         }
         told_rest = told;
@@ -90,7 +90,7 @@
 /// Tells the other cells the sum of this entry's own, while it speaks for it.
 async fn relay<D: Dialect>(state: Rc<State<D>>, socket: Rc<UdpSocket>) {
     loop {
-        tokio::time::sleep(millis(cell::RELAY)).await;
+        tokio::time::sleep(millis(cell::RELAY_INTERVAL)).await;
         let now = clock::now();
         let directory = &state.peers.directory;
         directory.borrow_mut().expire(now);
@@ -138,7 +138,7 @@
     let now = clock::now();
     let address = state.settings.gossip;
     let token = state.leadership.own();
-    let suspects = suspicion.names().map(|server| (server.clone(), 1));
+    let suspects = suspicion.suspects().map(|server| (server.clone(), 1));
     let ordered = state.ordered.borrow();
     let ordered = ordered.iter().filter(|_| token.is_some());
     Summary {
@@ -186,21 +186,21 @@
     let zone = heard.zone;
     let summary = heard.summary;
     let mut directory = state.peers.directory.borrow_mut();
-    directory.heard(now, &entry, Place { zone, address });
+    directory.heard(now, &entry, Location { zone, address });
     drop(directory);
     if heard.portion.number == 0 {
         take_planner(state, address, &heard.scope, &summary);
     }
     let mut load = state.load.borrow_mut();
     for (server, lasts) in &summary.refusing {
-        load.refusals.hear(now, server.clone(), *lasts);
+        load.refusals.receive(now, server.clone(), *lasts);
     }
     for (server, slowness) in &summary.slowness {
         load.record_slowness(now, server, *slowness);
     }
     drop(load);
     let mut board = state.peers.board.borrow_mut();
-    board.hear(now, entry, heard.scope, heard.portion, summary);
+    board.receive(now, entry, heard.scope, heard.portion, summary);
     drop(board);
     if now.since(state.peers.summed.get()) >= SUMS {
         sum_up(state);
@@ -241,7 +241,7 @@
         learn_held(state, &server, layers);
     }
     let mut suspicion = state.suspicion.borrow_mut();
-    let doubted = suspicion.set_told(now, others.suspects);
+    let doubted = suspicion.set_peer_reports(now, others.suspects);
     drop(suspicion);
     for server in doubted {
         ask(state, server);
@@ -264,7 +264,7 @@
 /// death was a hundred questions and connections at once, and each false alarm as many.
 fn ask<D: Dialect>(state: &Rc<State<D>>, server: Incarnation) {
     let is_used = state.load.borrow().has_own_requests(&server);
-    if !is_used || state.suspicion.borrow().holds(&server) {
+    if !is_used || state.suspicion.borrow().is_suspected(&server) {
         return;
     }
     if let Some(address) = state.address(&server) {
--- a/crates/front/src/gossip/peers.rs
+++ b/crates/front/src/gossip/peers.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 
 use jujube_core::name::Zone;
-use jujube_core::pipeline::board::Board;
 use jujube_core::pipeline::cell::Directory;
-use jujube_core::pipeline::cell::Place;
+use jujube_core::pipeline::cell::Location;
 use jujube_core::pipeline::outage;
-use jujube_core::pipeline::reserve::Tenure;
+use jujube_core::pipeline::reports::Reports;
+use jujube_core::pipeline::reserve::LeaseId;
 use jujube_core::time::Instant;
 use jujube_store::kv::Value;
 
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug)]
 pub struct Announcement {
     /// Where it is.
-    pub place: Place,
+    pub place: Location,
     /// The lease of the announcement, which tells this one from an earlier one of the same entry.
-    pub tenure: Tenure,
+    pub tenure: LeaseId,
 }
 
 impl Announcement {
@@ -33,13 +33,13 @@
         let address = words.next()?.parse().ok()?;
         let zone: Zone = words.next()?.into();
         let tenure = words.next()?.parse().ok()?;
-        let place = Place { zone, address };
+        let place = Location { zone, address };
         Some(Self { place, tenure })
     }
 
     /// Returns the value to write.
     pub fn text(&self) -> String {
-        let Place { zone, address } = &self.place;
+        let Location { zone, address } = &self.place;
         format!("{address} {zone} {}", self.tenure)
     }
 }
@@ -49,7 +49,7 @@
     /// Who they are, in cells.
     pub directory: RefCell<Directory>,
     /// What they said.
-    pub(super) board: RefCell<Board>,
+    pub(super) board: RefCell<Reports>,
     /// When what they said was added up last.
     pub(super) summed: Cell<Instant>,
     heard: Cell<u64>,
@@ -59,7 +59,7 @@
 
 impl Peers {
     /// Returns the peers of an entry that knows none.
-    pub fn new(own: Arc<str>, place: Place) -> Self {
+    pub fn new(own: Arc<str>, place: Location) -> Self {
         Self {
             directory: RefCell::new(Directory::new(own, place)),
             board: RefCell::default(),
@@ -80,10 +80,10 @@
 
     /// Tells whether the store answers no other entry.
     pub fn is_store_away(&self) -> bool {
-        outage::is_for_all(outage::Word {
-            known: self.count().saturating_sub(1),
-            heard: self.heard.get(),
-            served: self.served.get(),
+        outage::is_global(outage::Observation {
+            peers: self.count().saturating_sub(1),
+            reachable: self.heard.get(),
+            with_store: self.served.get(),
         })
     }
 
--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -10,7 +10,7 @@
 
 use jujube_core::fence::Holder;
 use jujube_core::fence::Token;
-use jujube_core::pipeline::deputy::Sight;
+use jujube_core::pipeline::deputy::Election;
 use jujube_core::time::Instant;
 use jujube_core::time::Span;
 use jujube_program::clock;
@@ -20,7 +20,7 @@
 use crate::dialect::Dialect;
 use crate::state::State;
 
-use term::Tenure;
+use term::LeaseId;
 use term::Term;
 
 /// How long the planner's lease lasts without renewal: a planner that dies is replaced within that
@@ -36,7 +36,7 @@
     own: Cell<Option<Token>>,
     /// How often the store has come back from an older copy.
     restores: Cell<u64>,
-    sight: Cell<Sight>,
+    election: Cell<Election>,
 }
 
 impl Leadership {
@@ -61,20 +61,20 @@
 
     /// Books that an order under a number was refused, since a later one was used.
     pub fn refused(&self, token: Token) {
-        let mut sight = self.sight.get();
-        sight.refused(token);
-        self.sight.set(sight);
+        let mut election = self.election.get();
+        election.refused(token);
+        self.election.set(election);
     }
 
     /// Takes another entry's word on whether it is the planner.
     pub fn heard_entry(&self, now: Instant, entry: SocketAddr, token: Option<Token>) {
-        let mut sight = self.sight.get();
-        let before = sight.planner(now);
-        sight.heard(now, entry, token);
+        let mut election = self.election.get();
+        let before = election.planner(now);
+        election.heard(now, entry, token);
         if token.is_some() && before != Some(entry) {
             log::info!("event=planner-heard entry={entry}");
         }
-        self.sight.set(sight);
+        self.election.set(election);
     }
 }
 
@@ -110,7 +110,7 @@
         return None;
     }
     let (lead, tenure) = match stand_in(state) {
-        Some(lead) => (lead, Tenure::Deputy),
+        Some(lead) => (lead, LeaseId::Deputy),
         None => win(state, store).await?,
     };
     log::info!("event=planner-won token={} tenure={tenure:?}", lead.token);
@@ -124,8 +124,8 @@
         return None;
     }
     let (now, own) = (clock::now(), state.settings.gossip);
-    let sight = state.leadership.sight.get();
-    let token = sight.stands_in(now, own, state.peers.ready())?;
+    let election = state.leadership.election.get();
+    let token = election.deputy_token(now, own, state.peers.ready())?;
     Some(Holder {
         token,
         renewed: now,
@@ -133,14 +133,14 @@
     })
 }
 
-async fn win<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, Tenure)> {
+async fn win<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, LeaseId)> {
     if state.leadership.is_held.get() {
         return None;
     }
     let least = store.era().map_or(Token(0), Token::first_of);
     let won = orders::acquire(store, clock::now(), TTL, &state.settings.name, least).await;
     match won {
-        Ok(won) => won.map(|(lead, lease)| (lead, Tenure::Lease(lease))),
+        Ok(won) => won.map(|(lead, lease)| (lead, LeaseId::Lease(lease))),
         Err(error) => {
             let cause = error.to_string().replace(' ', "-");
             log::info!("event=planner-not-won cause={cause}");
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -9,14 +9,14 @@
 
 use jujube_core::layer::Range;
 use jujube_core::name::Service;
-use jujube_core::pipeline::belief::Belief;
-use jujube_core::pipeline::cell::Place;
+use jujube_core::pipeline::cell::Location;
 use jujube_core::pipeline::chooser::Fleet;
 use jujube_core::pipeline::document::Table;
 use jujube_core::pipeline::era::Settling;
+use jujube_core::pipeline::liveness::Liveness;
 use jujube_core::pipeline::load::Load;
+use jujube_core::pipeline::local_health::LocalHealth;
 use jujube_core::pipeline::outlier::Outliers;
-use jujube_core::pipeline::pulse::Pulse;
 use jujube_core::pipeline::roster::Roster;
 use jujube_core::pipeline::server::Incarnation;
 use jujube_core::pipeline::suspicion::Suspicion;
@@ -76,7 +76,7 @@
     /// Who is suspected.
     pub suspicion: RefCell<Suspicion>,
     /// Whether this entry keeps up with its own work.
-    pub pulse: RefCell<Pulse>,
+    pub pulse: RefCell<LocalHealth>,
     /// Who fails too often.
     pub outliers: RefCell<Outliers>,
     /// Told when the other entries should hear at once of a server that died or refuses.
@@ -114,7 +114,7 @@
 impl<D> State<D> {
     /// Returns the state of an entry that knows nothing yet.
     pub fn new(settings: Settings) -> Self {
-        let place = Place {
+        let place = Location {
             zone: settings.zone.clone(),
             address: settings.gossip,
         };
@@ -133,7 +133,7 @@
             gaps: Gaps::default(),
             load: RefCell::default(),
             suspicion: RefCell::default(),
-            pulse: RefCell::new(Pulse::new(watchdog::PACE)),
+            pulse: RefCell::new(LocalHealth::new(watchdog::PACE)),
             outliers: RefCell::default(),
             is_news: tokio::sync::Notify::new(),
             told: RefCell::default(),
@@ -203,9 +203,9 @@
     }
 
     /// Returns what is believed of a backend server.
-    pub fn belief(&self, server: &Incarnation) -> Belief {
+    pub fn belief(&self, server: &Incarnation) -> Liveness {
         let (roster, suspicion) = (self.roster.borrow(), self.suspicion.borrow());
-        Belief::of(
+        Liveness::assess(
             server,
             clock::now(),
             &roster,
@@ -234,7 +234,7 @@
 
     /// Suspects a backend server.
     pub fn accuse(&self, server: &Incarnation, cause: &str) {
-        let fresh = self.suspicion.borrow_mut().accuse(clock::now(), server);
+        let fresh = self.suspicion.borrow_mut().suspect(clock::now(), server);
         self.pool.forget(server);
         if fresh {
             self.load.borrow_mut().server_lost(clock::now(), server);
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -101,7 +101,7 @@
     loop {
         tokio::time::sleep(Duration::from_millis(PACE.0)).await;
         let now = clock::now();
-        state.pulse.borrow_mut().beat(now);
+        state.pulse.borrow_mut().tick(now);
         let leaving = leaving(&state, now);
         let mut left = 0;
         let listed = state.streams.listed.borrow();
@@ -164,7 +164,7 @@
 /// Tells whether a stream has been silent for longer than it usually is.
 fn is_overdue(stream: &Stream, now: Instant) -> bool {
     let limit = if stream.events.get() == 0 {
-        stream.route.target.0 as f64 * FIRST_SHARE
+        stream.route.latency_target.0 as f64 * FIRST_SHARE
     } else {
         let gap = stream.route.gap_target.0 as f64 * GAP_SHARE;
         (stream.pace_ms.get() * SILENT_PACES)
@@ -241,7 +241,7 @@
 /// died, the stream's own connection would have broken. Given up for the refusal, runs that would have ended well
 /// are paid for twice, and their requests run on one more server.
 fn is_only_refusing<D>(state: &State<D>, stream: &Stream, first: &Part) -> bool {
-    let refuses = state.suspicion.borrow().refuses(&first.server);
+    let refuses = state.suspicion.borrow().is_refusing(&first.server);
     refuses && !is_overdue(stream, clock::now())
 }
 
