--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an entry.
+//! Startup, connection handling and graceful shutdown of an entry.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -40,24 +40,25 @@
 use crate::waiting;
 use crate::watchdog;
 
-/// How long after the request to stop new requests are still served. The platform asks every second
-/// and sends nobody after two refusals; requests in flight need the rest of the time.
+/// How long new requests are still served after a termination signal. The platform checks readiness
+/// every second and stops sending callers after two failures; requests in flight need the rest of
+/// the time.
 const LEAVING: Duration = Duration::from_millis(3_000);
-/// How long before the process is killed it ends by itself.
+/// How long before the platform kills the process it exits by itself.
 const BEFORE_KILL: Duration = Duration::from_millis(400);
-/// The least that the library reads of a head.
+/// The smallest read buffer that hyper accepts.
 const LEAST_BUFFER: usize = 8_192;
-/// The most that is read of a head, whatever is configured: an entry has some thousand connections and
-/// 160 MB or more.
+/// Upper bound of the read buffer, whatever the configured header limit: an entry serves some
+/// thousand connections with as little as 160 MB of memory.
 const MOST_BUFFER: usize = 64 << 10;
-/// How often a stop looks whether requests are still in flight.
+/// How often a shutdown checks for requests in flight.
 const LOOK: Duration = Duration::from_millis(20);
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until it receives a termination signal.
 ///
 /// # Errors
 ///
-/// It cannot start: a socket or a signal handler cannot be had.
+/// A socket cannot be bound, or a signal handler cannot be installed.
 pub fn run<D: Dialect, F: Feed>(settings: Settings, store: F) -> Result<()> {
     logs::to_stdout("entry", &settings.telemetry.level)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -114,10 +115,10 @@
     listener.with_context(|| format!("listen on {address}"))
 }
 
-/// Serves on until the platform sends nobody any more, then ends what is in flight.
+/// Serves requests until the platform has stopped sending callers, then waits for those in flight.
 ///
-/// Connections stay open at first, and each answer says that it is the last one: were idle ones
-/// closed at once, requests would cross the close, and callers would have to try again.
+/// Connections stay open at first, and each response carries `Connection: close`. Closing idle
+/// connections at once would race with new requests on them, and callers would have to retry.
 async fn drain<D: Dialect>(state: &State<D>, closing: &Trigger) {
     let stop = state.settings.stop.saturating_sub(BEFORE_KILL);
     let ended = tokio::time::sleep(stop);
@@ -138,7 +139,7 @@
 async fn accept<D: Dialect>(state: Rc<State<D>>, listener: TcpListener, closing: Signal) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Too many open files: without the pause this loop would take the processor.
+            // Out of file descriptors: without the pause this loop would spin.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -150,7 +151,7 @@
 async fn connection<D: Dialect>(state: Rc<State<D>>, stream: TcpStream, mut closing: Signal) {
     let set_up = stream.set_nodelay(true).and_then(|()| pool::watch(&stream));
     if set_up.is_err() {
-        // The caller has left already.
+        // The caller has already disconnected.
         return;
     }
     let limits = state
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What a platform calls the things that the entry reads and writes.
+//! The mapping between a platform's wire format and the entry's types.
 
 use std::net::SocketAddr;
 
@@ -20,99 +20,100 @@
 /// The names of headers.
 #[derive(Clone, Debug)]
 pub struct Names {
-    /// The identifier of a request.
+    /// The request ID.
     pub request: HeaderName,
-    /// How many milliseconds the caller, or the entry, will wait.
+    /// The remaining time of the caller, or of the entry, in milliseconds.
     pub deadline: HeaderName,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: HeaderName,
-    /// The customer that the key belongs to, for the backend server.
+    /// The customer that the API key belongs to, for the backend server.
     pub customer: HeaderName,
-    /// The run of the backend server that the request is meant for.
+    /// The incarnation of the backend server that the request is meant for.
     pub expected_server: HeaderName,
-    /// The version of weights that the request is meant for.
+    /// The weights version that the request is meant for.
     pub expected_weights: HeaderName,
     /// The request's path.
     pub path: HeaderName,
-    /// The request's rank at the engine.
+    /// The request's priority at the engine.
     pub rank: HeaderName,
-    /// The backend server's signature of its answer.
+    /// The signature of the backend server on its response.
     pub signature: HeaderName,
-    /// The backend server's word that it has not run the request.
+    /// Set by the backend server when it has not run the request.
     pub not_run: HeaderName,
-    /// The address of the part of a path that is at fault.
+    /// The address of the part of a path that caused a failure.
     pub server_at_fault: HeaderName,
 }
 
-/// One key of the store, decoded.
+/// A decoded key of the store.
 #[derive(Debug)]
 pub enum Record {
-    /// The newest configuration.
+    /// The current configuration.
     Configuration(Document),
-    /// A backend server is registered.
+    /// The registration of a backend server.
     Server(Server),
     /// A backend server's registration was removed.
     Removed(ServerName),
-    /// A backend server's registration cannot be read, and why.
+    /// A registration that cannot be decoded, and why.
     UnreadableServer(ServerName, anyhow::Error),
-    /// Another value that the entry follows cannot be read, and why.
+    /// Another followed value that cannot be decoded, and why.
     Unreadable(anyhow::Error),
-    /// Nothing that the entry follows.
+    /// A key that the entry does not follow.
     Other,
 }
 
-/// An engine's report on itself.
+/// An engine's status report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
-    /// Whether an order is being carried out.
+    /// Whether it is carrying out an order.
     pub busy: bool,
-    /// How many orders it has taken.
+    /// How many orders it has accepted.
     pub orders: u64,
-    /// Memory of requests in use, in tokens times layers.
+    /// KV memory in use, in tokens times layers.
     pub used: f64,
-    /// Memory for requests in all, in tokens times layers.
+    /// KV memory capacity, in tokens times layers.
     pub room: f64,
-    /// The layers that it holds, where it tells them.
+    /// The layers that it holds, if reported.
     pub held: Option<Range>,
-    /// How many times slower than usual it is.
+    /// The slowdown compared with normal speed, as a factor.
     pub slowness: f64,
-    /// When it started, by its own clock; `None` where it does not tell.
+    /// The start time by its own clock, if reported.
     pub born: Option<Born>,
 }
 
-/// A platform's names, as functions between its wire and the router's types.
+/// Conversions between a platform's wire format and the router's types.
 pub trait Dialect: Copy + Default + 'static {
-    /// The headers.
+    /// The names of headers.
     const NAMES: Names;
-    /// The path at which the platform asks whether callers may be sent here.
+    /// The path of the platform's readiness check.
     const READY: &'static str;
     /// The path of an engine's report.
     const REPORT: &'static str;
-    /// The path at which an engine takes orders.
+    /// The path at which an engine accepts orders.
     const ORDER: &'static str;
 
-    /// Decodes a key of the store; `value` is `None` where it was removed.
+    /// Decodes a key of the store; `value` is `None` if the key was removed.
     fn record(key: &str, value: Option<&Value>) -> Record;
 
-    /// Reads what a request needs of an engine.
+    /// Decodes what a request needs from an engine.
     fn need(headers: &HeaderMap) -> Option<Need>;
 
-    /// Writes a path.
+    /// Encodes a path.
     fn path(path: &Path) -> String;
 
-    /// Writes the order to hold layers; `orders` is how many the engine must have taken before.
+    /// Encodes an order to hold layers; `orders` is the number of orders that the engine must have
+    /// accepted before it.
     fn place(layers: Range, handover: Handover, token: Token, orders: Option<u64>) -> Bytes;
 
-    /// Writes the order to carry a request on along another path.
+    /// Encodes an order to continue a request along another path.
     fn repath(request: &str, path: &Path) -> Bytes;
 
-    /// Reads which part of a path the engine names when it refuses to take the path.
+    /// Decodes the part of a path that an engine names when it rejects the path.
     fn part_at_fault(body: &[u8]) -> Option<SocketAddr>;
 
-    /// Reads a report.
+    /// Decodes a status report.
     ///
     /// # Errors
     ///
-    /// It is malformed.
+    /// The report is malformed.
     fn report(body: &[u8]) -> Result<Report>;
 }
--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of each model, rebuilt from the registrations when they change.
+//! The fleet of each model, rebuilt whenever the registrations change.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 
 use crate::metrics::Metrics;
 
-/// Returns the fleets of all models in a configuration.
+/// Builds the fleet of each model in a configuration.
 pub fn build(table: &Table, roster: &Roster) -> BTreeMap<Service, Rc<Fleet>> {
     let services = table.document.services.iter();
     let models =
@@ -45,14 +45,15 @@
     since: Instant,
 }
 
-/// The models with layers that no server holds, for logs.
+/// The models with layers that no server holds, for logging.
 ///
-/// Requests are refused for want of a path then, and only the layers without a holder tell why.
+/// While a model has a gap, its requests are refused because no path exists; these log lines say
+/// which layers are the cause.
 #[derive(Default)]
 pub struct Gaps(RefCell<BTreeMap<Service, Gap>>);
 
 impl Gaps {
-    /// Logs the gaps that have opened, changed or closed.
+    /// Logs each gap that has opened, changed or closed.
     pub fn log(&self, now: Instant, fleets: &BTreeMap<Service, Rc<Fleet>>, metrics: &Metrics) {
         let mut known = self.0.borrow_mut();
         known.retain(|service, _| fleets.contains_key(service));
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration and the registrations in the store.
+//! Watches the configuration and the registrations in the store.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -32,49 +32,49 @@
 use crate::slack;
 use crate::state::State;
 
-/// The longest such pause of the entry that places layers. It takes registrations for complete that have been quiet for
-/// 0.7 s; looking once a second it placed half of the servers without knowing the others, and a deployment served a
-/// third less all day.
+/// The longest pause of the planner between an answer with changes and the next call. It must be
+/// shorter than the 0.7 s after which the planner considers the registrations complete, or servers
+/// would be placed before all of them are known.
 pub const GATHER_PLANNER: Span = Span(500);
-/// The start of the keys that entries write.
+/// The prefix of the keys that entries write.
 const OWN: &str = "jujube/";
-/// Everything: one waiting call hears of configuration, registrations and the planner's lease.
+/// The empty prefix: one watch covers the configuration, the registrations and the planner's lease.
 const ALL: &str = "";
-/// How much less one call waits for changes than a VM takes to count as being without trouble.
+/// How much shorter one call waits than the time without faults after which the time limits apply.
 ///
-/// A call that began while the store passed no changes on hears nothing for its whole wait, while all
-/// other calls work: a configuration would be missed for that long. The next call must have been answered by the
-/// time from which delays count. A store that falls silent as a whole is noticed by the renewals of this entry's
-/// lease.
+/// A watch that began while the store delivered no changes may hear nothing for its whole wait
+/// although all other calls succeed. The next call must be answered before the time limits apply
+/// again. A store that becomes silent altogether is detected by the renewals of this entry's lease.
 const EARLIER: Span = Span(1_000);
-/// The least that one call waits.
+/// The shortest wait of one call.
 const LEAST_WAIT: Span = Span(500);
-/// The same while the store is lost: a short wait is answered soon after it is back, also when
-/// nothing changes.
+/// The wait of one call after the connection to the store was lost, short so that the recovery is
+/// noticed even if nothing changes.
 const WAIT_LOST: Span = Span(300);
-/// The share of the time in which a configuration must be in force that passes between an answer with changes and the
-/// next call. Changes come in bursts, and each call is paid for by each entry: with half a second of two and a hundred
-/// entries, calls to the store were a tenth of what a day with trouble earned.
+/// The share of the time limit that passes between an answer with changes and the next call.
+/// Changes come in bursts, and every entry pays for each call.
 const GATHER_SHARE: u64 = 4;
-/// How much of that time is left for the next call after an answer that told only of entries and of what they hold in
-/// the store: more of that may wait, a configuration may not. A slow store takes a third of a second, and reading a
-/// large one as long on the smallest VMs.
+/// The part of the time limit reserved for the next call after an answer that contained only keys
+/// of entries. Such changes may wait longer than a configuration. A slow store answers within a
+/// third of a second, and decoding a large snapshot takes as long on the smallest VMs.
 const LEFT: Span = Span(1_500);
-/// The shortest and longest pause before a store that failed is asked again; a random one between
-/// them keeps the entries from asking together.
+/// The range of the random pause before a failed call is repeated, which keeps the entries from
+/// calling in step.
 const PAUSE_MS: std::ops::Range<u64> = 100..300;
 
-/// The pause between two calls for the first snapshot, in milliseconds; a slow store answers within.
+/// The range of the random pause between two calls for the first snapshot, in milliseconds; a slow
+/// store answers within it.
 const FIRST_PAUSE_MS: std::ops::Range<u64> = 300..400;
 
-/// Follows the store until the process ends.
+/// Watches the store until the process ends.
 pub async fn run<D: Dialect, F: Feed>(state: Rc<State<D>>, store: F) {
     let mut after: Option<Revision> = None;
     let mut era = store.era();
     let mut is_lost = false;
     loop {
         if state.roster.borrow().is_to_be_read(clock::now()) {
-            // What lives has written again; what the copy still showed and is dead is gone.
+            // Running servers have registered again by now; entries of dead servers from the backup
+            // are absent from a new snapshot.
             after = None;
         }
         let wait = if is_lost { WAIT_LOST } else { wait(&state) };
@@ -92,7 +92,7 @@
         let (before, now) = (era, store.era());
         era = now;
         if let Some(risen) = now.filter(|now| before.is_some_and(|before| *now > before)) {
-            // Whatever this step has learned may be of both eras.
+            // The result of this step may mix the state of both eras.
             restore::take(&state, risen);
             after = None;
             continue;
@@ -130,11 +130,11 @@
     Span(contact.0.saturating_sub(EARLIER.0)).max(LEAST_WAIT)
 }
 
-/// Reads everything for the first time, however long the store takes.
+/// Reads the first snapshot, however long the store takes.
 ///
-/// Until then every caller is turned away. A call that was made while the store was silent stays
-/// without an answer for its whole time, also when the store is back meanwhile; so another is made
-/// every now and then, and those before it may still be answered by a slow store.
+/// Until then every caller is refused. A call made while the store was silent may stay unanswered
+/// even after the store has recovered, so further calls are made at intervals, while the earlier
+/// ones may still be answered by a slow store.
 async fn first_snapshot<D: Dialect, F: Feed>(
     state: &State<D>,
     store: &F,
@@ -163,14 +163,14 @@
                     let cause = error.to_string().replace(' ', "-");
                     log::warn!("event=store-lost cause={cause}");
                 }
-                // The store is known to be lost, and the next call is due soon.
+                // The loss is logged already, and the next call follows soon.
                 Err(_) => {}
             }
         }
     }
 }
 
-/// Reads everything; returns the revision to follow from.
+/// Reads a snapshot of the store; returns the revision to watch from.
 async fn read<D: Dialect, F: Feed>(state: &State<D>, store: &F) -> Result<Option<Revision>, Error> {
     let (changes, revision) = if state.registered.get() {
         state.metrics.count("store_reads");
@@ -178,7 +178,8 @@
     } else {
         first_snapshot(state, store).await
     };
-    // What came back after an outage is judged by when it came back, not by when it was lost.
+    // A registration that reappears after an outage is dated by the recovery, not by the start of
+    // the outage.
     state.roster.borrow_mut().store_returned(clock::now());
     if state.roster.borrow().is_to_be_read(clock::now()) {
         state.roster.borrow_mut().read_again();
@@ -232,7 +233,7 @@
     Ok(Some(revision))
 }
 
-/// Waits for changes; returns the revision to follow from, `None` to read everything.
+/// Waits for changes; returns the revision to continue from, or `None` if a snapshot is needed.
 async fn follow<D: Dialect, F: Feed>(
     state: &State<D>,
     store: &F,
@@ -247,7 +248,7 @@
         }
         News::Changes(changes, revision) => (changes, revision),
     };
-    // Registrations that vanish in the first answer after an outage lapsed in it.
+    // Registrations removed in the first answer after an outage expired during the outage.
     state.roster.borrow_mut().store_returned(clock::now());
     let mut is_changed = false;
     for change in &changes {
@@ -271,7 +272,7 @@
     Ok(Some(revision))
 }
 
-/// Returns for how long changes are gathered after an answer with these.
+/// Returns the pause after an answer with changes, in which further changes accumulate.
 fn gather<D>(state: &State<D>, changes: &[Change]) -> Span {
     let is_own = |change: &Change| change.key.starts_with(OWN);
     let apply = state.settings.fresh.apply;
@@ -286,7 +287,7 @@
     }
 }
 
-/// Takes where another entry is, if the change tells that.
+/// Records the address of another entry if the change is an announcement.
 fn take_announcement<D>(state: &State<D>, change: &Change) {
     let Some(entry) = gossip::announced(&change.key) else {
         return;
@@ -303,11 +304,12 @@
     }
 }
 
-/// Gives up the lease of this entry's announcement if another one has taken its place, for it to be made anew.
+/// Drops the lease of this entry's announcement if another announcement has replaced it, so that it
+/// is written again.
 ///
-/// A write of an earlier lease that is carried out late takes the announcement with it when that lease ends, and
-/// entries that start later would never hear of this one. What the store tells of times before this announcement
-/// says nothing of it.
+/// A delayed write under an earlier lease can replace the announcement and remove it when that
+/// lease expires, and entries that start later would not find this one. Revisions up to that of
+/// this entry's own write say nothing about it.
 fn check_own<D>(state: &State<D>, announcement: Option<&gossip::Announcement>, told: Revision) {
     if told <= state.retries.announced.get() {
         return;
@@ -320,7 +322,7 @@
     }
 }
 
-/// Takes who holds a piece of the retry budget's slack, if the change tells that.
+/// Records the holder of a piece of the retry slack if the change is about one.
 fn take_piece<D>(state: &State<D>, change: &Change) {
     let Some((service, piece)) = slack::piece(&change.key) else {
         return;
@@ -333,7 +335,7 @@
     state.retries.changed.notify_one();
 }
 
-/// Takes one change; returns what it meant for the registrations.
+/// Applies one change; returns its effect on the registrations.
 fn apply<D: Dialect>(state: &State<D>, change: &Change) -> Effect {
     let now = clock::now();
     let mut roster = state.roster.borrow_mut();
@@ -372,14 +374,15 @@
     effect
 }
 
-/// The values that could not be read and that were logged.
+/// The undecodable values that have been logged.
 ///
-/// The whole store is read again after each gap in its history; without this an entry that somebody
-/// else wrote once would be reported each time.
+/// The whole store is read again whenever the watch history has been compacted; without this, the
+/// same malformed value would be logged each time.
 #[derive(Default)]
 pub struct Malformed(RefCell<BTreeMap<String, Revision>>);
 
-/// How many keys are remembered; a writer that makes up new ones must not fill the memory.
+/// The maximum number of remembered keys, so that a writer of ever new keys cannot exhaust the
+/// memory.
 const MOST_MALFORMED: usize = 1_000;
 
 impl Malformed {
@@ -401,10 +404,10 @@
     }
 }
 
-/// Takes a configuration, unless one that is newer is in force.
+/// Applies a configuration unless the one in force is as new.
 ///
-/// A read may be older than what a watch has shown; going back to it would route by a configuration
-/// that was replaced.
+/// A snapshot may be older than changes already watched; applying it would route by a superseded
+/// configuration.
 fn take<D: Dialect>(state: &State<D>, document: Document) {
     let version = document.version;
     let known = state.table().map(|table| table.document.version);
@@ -422,8 +425,8 @@
     rebuild(state);
 }
 
-/// Takes what a server itself says it holds, and has the other entries told, while the store, which would
-/// tell all, is away.
+/// Applies the layers that a server reports while the store, the usual source, is unavailable, and
+/// shares them with the other entries.
 pub fn take_held<D>(state: &State<D>, server: &Incarnation, held: Range) {
     let mut roster = state.roster.borrow_mut();
     let effect = roster.reported(clock::now(), server, held);
@@ -436,7 +439,7 @@
     rebuild(state);
 }
 
-/// Rebuilds what is derived from configuration and registrations.
+/// Rebuilds the state derived from the configuration and the registrations.
 pub fn rebuild<D>(state: &State<D>) {
     let Some(table) = state.table() else {
         return;
@@ -459,17 +462,19 @@
     state.outliers.borrow_mut().retain(is_known);
     drop(roster);
     for earlier in state.roster.borrow_mut().take_replaced() {
-        // Streams through it go on elsewhere at once, without waiting until they have been silent.
+        // Streams through the old incarnation switch paths at once instead of waiting for a
+        // timeout.
         state.accuse(&earlier, "restarted");
     }
     state.roster_changed.notify_waiters();
 }
 
-/// How often lapsed registrations and idle connections are looked through. A lapse ends two seconds
-/// after the store's return, and what is missing then must get nothing a second later.
+/// How often expired registrations and idle connections are removed. The grace period ends two
+/// seconds after the store's recovery, and a server that is missing then must get no requests a
+/// second later.
 const TIDY: Duration = Duration::from_millis(100);
 
-/// Drops what has run out until the process ends.
+/// Removes expired registrations and idle connections until the process ends.
 pub async fn tidy<D: Dialect>(state: Rc<State<D>>) {
     loop {
         tokio::time::sleep(TIDY).await;
--- a/crates/front/src/gossip/announce.rs
+++ b/crates/front/src/gossip/announce.rs
@@ -1,4 +1,5 @@
-//! This entry's announcement in the store, by which the others find it, and the lease of all that it holds there.
+//! This entry's announcement in the store, by which other entries find it, and the lease that
+//! covers all its keys there.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,15 +19,15 @@
 use super::Announcement;
 use super::ENTRIES;
 
-/// How often the lease is renewed. The renewal is also how a store that has fallen silent is noticed, within
-/// the three seconds after which a change must not be missed; it costs a tenth of another call.
+/// How often the lease is renewed. A failed renewal is also how a silent store is detected, within
+/// the three seconds after which no change may be missed.
 const RENEW: Duration = Duration::from_millis(1_300);
-/// How long a renewal may take; a slow store takes a third of a second.
+/// How long a renewal may take; a slow store answers within a third of a second.
 const ANSWER: Duration = Duration::from_millis(800);
-/// How long after a failure to announce or to renew it is tried again.
+/// The pause before a failed announcement or renewal is retried.
 const AGAIN: Duration = Duration::from_millis(700);
 
-/// Announces this entry in the store until the process ends.
+/// Keeps this entry announced in the store until the process ends.
 pub async fn announce<D, F: Feed>(state: Rc<State<D>>, store: F) {
     loop {
         match take(&state, &store).await {
@@ -38,11 +39,11 @@
     }
 }
 
-/// Announces this entry and returns the lease; `None` when somebody else wrote meanwhile.
+/// Announces this entry and returns the lease; `None` if another writer interfered.
 ///
-/// The write holds only if the key is as it was read, at most starts not there. A write under an earlier lease
-/// whose answer was lost, and that is carried out late, would otherwise replace this one and take the key with it
-/// when that lease ends.
+/// The write is conditional on the revision that was read, and at first on the key's absence.
+/// Otherwise a delayed write under an earlier lease could replace the announcement and remove the
+/// key when that lease expires.
 async fn take<D, F: Feed>(state: &State<D>, store: &F) -> Result<Option<Lease>, Error> {
     let key = format!("{ENTRIES}{}", state.settings.name);
     let began = clock::now();
@@ -87,7 +88,7 @@
     Ok(Some(lease))
 }
 
-/// Renews the lease until it has ended, or another announcement of this entry took the place of this one.
+/// Renews the lease until it has expired or this announcement has been replaced.
 async fn keep<D, F: Feed>(state: &State<D>, store: &F, lease: Lease) {
     let mut pause = RENEW;
     loop {
@@ -118,7 +119,7 @@
     }
 }
 
-/// Has the call made again that waits for changes: it may wait in vain.
+/// Cancels the pending watch so that it is made again: it may never be answered.
 fn doubt<D>(state: &State<D>, event: &str, error: &Error) {
     state.store_doubted.notify_waiters();
     let cause = error.to_string().replace(' ', "-");
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -1,4 +1,4 @@
-//! What entries tell one another.
+//! The gossip message format.
 
 use std::net::SocketAddr;
 
@@ -18,15 +18,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The most bytes of one message. The sum over a hundred entries before a hundred servers takes some 8 kB; a larger
-/// datagram would hold a link of 20 Mbit/s for longer than a question to a server may.
+/// The maximum size of one message in bytes. A report of a hundred entries on a hundred servers
+/// takes some 8 kB; a larger datagram could delay probes on a link of 20 Mbit/s.
 const MOST_BYTES: usize = 16_000;
-/// The most that is received of one message.
+/// The size of the receive buffer.
 pub(super) const BUFFER: usize = 65_536;
-/// The most portions of a word: six hundred times what a hundred servers need.
+/// The maximum number of portions of a report, far more than a hundred servers need.
 const MOST_PORTIONS: u16 = 1_024;
 
-/// One start of a server.
+/// The wire form of an incarnation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct Start {
     server: String,
@@ -48,22 +48,22 @@
     }
 }
 
-/// What entries know of one server.
+/// One reported property of a server.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 enum Fact {
-    /// What is in flight.
+    /// Its load from requests in flight.
     Used { tokens: f32, requests: u32 },
-    /// How requests ended.
+    /// The outcomes of its requests.
     Ended { good: f32, bad: f32 },
-    /// How many times slower than usual it says it is.
+    /// Its slowdown as a factor.
     Slow(f32),
-    /// It refuses requests, and for how many milliseconds more that is believed.
+    /// It refuses requests, and this is assumed for so many milliseconds more.
     Full(u32),
-    /// So many entries suspect it.
+    /// The number of entries that suspect it.
     Suspected(u32),
-    /// It told the planner that it holds these layers, while the store is away.
+    /// The layers that it reported to the planner while the store was unavailable.
     Holds { start: u32, end: u32 },
-    /// It was ordered to hold these layers.
+    /// The layers that it was ordered to hold.
     Ordered { start: u32, end: u32 },
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Of whom a word is.
+/// The scope of a report on the wire.
 #[derive(Debug, Deserialize, Serialize)]
 enum Whose {
     Own,
@@ -113,7 +113,7 @@
     }
 }
 
-/// One message: a word, or a portion of one.
+/// One message: a report or a portion of one.
 #[derive(Debug, Deserialize, Serialize)]
 struct Message {
     entry: String,
@@ -128,31 +128,31 @@
     facts: Vec<(Start, Fact)>,
 }
 
-/// A message as it was heard.
+/// A decoded message.
 #[derive(Debug)]
 pub(super) struct Heard {
-    /// Who told it.
+    /// The name of the entry that sent it.
     pub(super) entry: String,
-    /// The teller's availability zone.
+    /// The sender's availability zone.
     pub(super) zone: Zone,
-    /// Of whom it is.
+    /// The scope of the report.
     pub(super) scope: Scope,
-    /// Which portion of the word it is.
+    /// The portion of the report that this message contains.
     pub(super) portion: Portion,
-    /// What it says.
+    /// The content.
     pub(super) summary: Summary,
 }
 
-/// Why a message was not understood.
+/// Why a message was rejected.
 #[derive(Debug)]
 pub(super) enum Malformed {
     /// It cannot be decoded.
     Encoding,
-    /// A figure is negative or none.
+    /// A number in it is not finite.
     Figure,
 }
 
-/// Who tells a word.
+/// The entry that sends a report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Teller<'a> {
     pub(super) entry: &'a str,
@@ -188,10 +188,10 @@
     facts
 }
 
-/// Encodes a word in as many messages as it needs.
+/// Encodes a report in as many messages as it needs.
 ///
-/// A word that grew over one datagram was left out before: others would take an entry for gone whose load is the
-/// largest of all.
+/// A report that exceeds one datagram must be split, not dropped: the other entries would consider
+/// an entry dead that has the largest load of all.
 pub(super) fn encode(teller: Teller<'_>, scope: &Scope, summary: &Summary) -> Vec<Vec<u8>> {
     let facts = facts(summary);
     let mut portions = 1;
@@ -239,7 +239,7 @@
 ///
 /// # Errors
 ///
-/// It is none, or a figure in it would spoil the sums.
+/// The message is malformed, or a number in it is not finite and would corrupt the sums.
 pub(super) fn decode(bytes: &[u8]) -> Result<Heard, Malformed> {
     let options = bincode::DefaultOptions::new().with_limit(BUFFER as u64);
     let message: Message = options
@@ -303,7 +303,7 @@
     Ok(())
 }
 
-/// Checks a figure that is added to others; rounding leaves sums a little below zero.
+/// Validates a summand; rounding may leave differences slightly below zero.
 fn figure(told: f32) -> Result<f64, Malformed> {
     if !told.is_finite() {
         return Err(Malformed::Figure);
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! Entries tell one another what they have in flight and what they have found out.
+//! Gossip between entries about load, failures, suspicions and the planner.
 
 mod announce;
 mod message;
@@ -34,7 +34,7 @@
 pub use peers::Announcement;
 pub use peers::Peers;
 
-/// The start of the keys under which entries announce their addresses.
+/// The prefix of the keys under which entries announce their addresses.
 const ENTRIES: &str = "jujube/entries/";
 
 /// Returns the name of the entry whose announcement a key holds.
@@ -42,15 +42,15 @@
     key.strip_prefix(ENTRIES)
 }
 
-/// How long after it told something an entry waits before it tells urgent news. A dying server's streams make news
-/// of one death again and again; told each time by all entries at once, that filled links of 20 Mbit/s for longer
-/// than a question to a server may take, and live servers were found dead by the dozen.
+/// The shortest interval between a report and an urgent one. The streams of a crashed server
+/// suspect it again and again; urgent reports of all entries for each of these could saturate a
+/// link of 20 Mbit/s, delay probes and make healthy servers look dead.
 const URGENT_GAP: Span = Span(40);
-/// How often at most what others said is added up: adding a hundred rows takes some 30 microseconds, and messages
-/// come in twos and threes.
+/// The shortest interval between two aggregations of received reports: messages arrive in bursts,
+/// and aggregating a hundred reports takes some 30 microseconds.
 const SUMS: Span = Span(50);
 
-/// Tells this entry's load, and hears the others', until the process ends.
+/// Sends this entry's reports and receives those of others until the process ends.
 pub async fn run<D: Dialect>(state: Rc<State<D>>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     tokio::task::spawn_local(hear(state.clone(), socket.clone()));
@@ -87,7 +87,8 @@
     Duration::from_millis(span.0)
 }
 
-/// Tells the other cells the sum of this entry's own, while it speaks for it.
+/// Sends the sum of this cell's reports to the other cells while this entry is a speaker of its
+/// cell.
 async fn relay<D: Dialect>(state: Rc<State<D>>, socket: Rc<UdpSocket>) {
     loop {
         tokio::time::sleep(millis(cell::RELAY)).await;
@@ -123,14 +124,14 @@
         for bytes in &messages {
             state.metrics.count("gossip_sent");
             if socket.send_to(bytes, address).await.is_err() {
-                // The next word makes good what is lost.
+                // The next report makes up for the lost one.
                 state.metrics.count("gossip_not_sent");
             }
         }
     }
 }
 
-/// Returns what this entry has to tell.
+/// Returns this entry's own report.
 fn own<D>(state: &State<D>) -> Summary {
     let load = state.load.borrow();
     let suspicion = state.suspicion.borrow();
@@ -167,7 +168,8 @@
     loop {
         let received: io::Result<(usize, SocketAddr)> = socket.recv_from(&mut buffer).await;
         let Ok((length, address)) = received else {
-            // Told by a peer's machine that nobody listens there; the next datagram is another's.
+            // An ICMP error for an earlier datagram: a peer's port is closed. The next datagram may
+            // come from another entry.
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         };
@@ -179,7 +181,7 @@
     }
 }
 
-/// Takes what another entry tells.
+/// Handles a received message.
 fn take<D: Dialect>(state: &Rc<State<D>>, address: SocketAddr, heard: Heard) {
     let now = clock::now();
     let entry: Arc<str> = heard.entry.into();
@@ -207,7 +209,7 @@
     }
 }
 
-/// Takes a word on who gives orders. Only the entry itself can say that it gives none.
+/// Records which entry is the planner. Only an entry itself can say that it is not the planner.
 fn take_planner<D>(state: &State<D>, teller: SocketAddr, scope: &Scope, summary: &Summary) {
     let now = clock::now();
     match (scope, summary.planner) {
@@ -219,7 +221,7 @@
     }
 }
 
-/// Adds up what the others said, and acts on it.
+/// Aggregates the received reports and applies the result.
 fn sum_up<D: Dialect>(state: &Rc<State<D>>) {
     let now = clock::now();
     state.peers.summed.set(now);
@@ -246,7 +248,7 @@
     }
 }
 
-/// Takes what a server told the planner that it holds.
+/// Applies the layers that a server reported to the planner.
 fn learn_held<D: Dialect>(state: &Rc<State<D>>, server: &Incarnation, layers: Range) {
     let mut roster = state.roster.borrow_mut();
     let effect = roster.reported(clock::now(), server, layers);
@@ -256,10 +258,10 @@
     }
 }
 
-/// Asks a server that others suspect, if requests of this entry are there.
+/// Probes a server that other entries suspect if this entry has requests in flight there.
 ///
-/// The others find out by their own requests, or prefer other servers as long as it is suspected. Asked by all, a
-/// death was a hundred questions and connections at once, and each false alarm as many.
+/// Entries without such requests prefer other servers while it is suspected. A probe from every
+/// entry would mean a burst of probes and connections for each crash and each false alarm.
 fn ask<D: Dialect>(state: &Rc<State<D>>, server: Incarnation) {
     let is_used = state.load.borrow().has_own(&server);
     if !is_used || state.suspicion.borrow().holds(&server) {
--- a/crates/front/src/gossip/peers.rs
+++ b/crates/front/src/gossip/peers.rs
@@ -1,4 +1,4 @@
-//! The other entries, as far as they are known.
+//! What is known about the other entries.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,17 +14,17 @@
 use jujube_core::time::Instant;
 use jujube_store::kv::Value;
 
-/// What an entry says of itself in the store.
+/// An entry's announcement in the store.
 #[derive(Clone, Debug)]
 pub struct Announcement {
-    /// Where it is.
+    /// The zone and the gossip address of the entry.
     pub place: Place,
-    /// The lease of the announcement, which tells this one from an earlier one of the same entry.
+    /// The lease of the announcement, which distinguishes it from earlier ones of the same entry.
     pub tenure: Tenure,
 }
 
 impl Announcement {
-    /// Reads an announcement; `None` if somebody else wrote the value.
+    /// Decodes an announcement; `None` if the value is not one.
     pub fn read(value: &Value) -> Option<Self> {
         let Value::Text(text) = value else {
             return None;
@@ -37,20 +37,20 @@
         Some(Self { place, tenure })
     }
 
-    /// Returns the value to write.
+    /// Encodes the announcement.
     pub fn text(&self) -> String {
         let Place { zone, address } = &self.place;
         format!("{address} {zone} {}", self.tenure)
     }
 }
 
-/// The other entries.
+/// What is known about the other entries.
 pub struct Peers {
-    /// Who they are, in cells.
+    /// The known entries, grouped in cells.
     pub directory: RefCell<Directory>,
-    /// What they said.
+    /// The latest report of each entry and cell.
     pub(super) board: RefCell<Board>,
-    /// When what they said was added up last.
+    /// When the reports were last aggregated.
     pub(super) summed: Cell<Instant>,
     heard: Cell<u64>,
     served: Cell<u64>,
@@ -58,7 +58,7 @@
 }
 
 impl Peers {
-    /// Returns the peers of an entry that knows none.
+    /// Creates the peers of an entry that knows no others.
     pub fn new(own: Arc<str>, place: Place) -> Self {
         Self {
             directory: RefCell::new(Directory::new(own, place)),
@@ -70,15 +70,15 @@
         }
     }
 
-    /// Takes how many others are heard, how many of them the store answers, and the lowest address of those that
-    /// could give orders.
+    /// Sets how many other entries were heard from, how many of them the store answers, and the
+    /// lowest address of those that could become planner.
     pub(super) fn set(&self, heard: u64, served: u64, ready: Option<SocketAddr>) {
         self.heard.set(heard);
         self.served.set(served);
         self.ready.set(ready);
     }
 
-    /// Tells whether the store answers no other entry.
+    /// Returns whether the store answers none of the other entries.
     pub fn is_store_away(&self) -> bool {
         outage::is_for_all(outage::Word {
             known: self.count().saturating_sub(1),
@@ -87,12 +87,12 @@
         })
     }
 
-    /// Returns the other entry with the lowest address of those that are heard and could give orders.
+    /// Returns the lowest address of the other entries that could become planner.
     pub fn ready(&self) -> Option<SocketAddr> {
         self.ready.get()
     }
 
-    /// Returns how many entries are known, this one included.
+    /// Returns the number of known entries, including this one.
     pub fn count(&self) -> u64 {
         self.directory.borrow().count() as u64
     }
--- a/crates/front/src/head.rs
+++ b/crates/front/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers as they are passed on.
+//! Header handling for forwarded requests and responses.
 
 use hyper::HeaderMap;
 use hyper::header::CONNECTION;
@@ -16,7 +16,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Headers that concern one connection only; the length is written anew for the body passed on.
+/// Hop-by-hop headers, and the content length, which is set anew for the forwarded body.
 const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -28,7 +28,7 @@
     CONTENT_LENGTH,
 ];
 
-/// Removes what concerns one connection only, also what `Connection` names.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 pub fn strip(headers: &mut HeaderMap) {
     let named = named_by_connection(headers);
     for name in named.iter().chain(&HOP_BY_HOP) {
@@ -36,7 +36,8 @@
     }
 }
 
-/// Removes what only the entry may say to a backend server, whatever the caller sent.
+/// Removes headers that only the entry may send to a backend server, so that callers cannot forge
+/// them.
 pub fn disown<D: Dialect>(headers: &mut HeaderMap) {
     let names = D::NAMES;
     let own = [
@@ -55,19 +56,19 @@
     }
 }
 
-/// Sets a header to a text; a text that no header can hold leaves it out.
+/// Sets a header; a value that is not valid in a header is left out.
 pub fn set(headers: &mut HeaderMap, name: HeaderName, text: &str) {
     if let Ok(value) = HeaderValue::from_str(text) {
         headers.insert(name, value);
     }
 }
 
-/// Returns a header's text.
+/// Returns a header's value if it is text.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Returns a header's whole number.
+/// Returns a header's value if it is an unsigned integer.
 pub fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     text(headers, name)?.trim().parse().ok()
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,9 +1,10 @@
-//! The entry before engines that forward along a path of their own.
+//! A reverse proxy for inference engines that forward each request along a path of servers.
 //!
-//! This crate is for the shell: callers' HTTP in, the decisions of `jujube_core::pipeline` driven
-//! by events, and their outcome out. It follows the configuration and the registrations in a
-//! store, and one of the entries at a time places the model's layers. What the wire calls things
-//! is said by a [`dialect::Dialect`]; this crate is not for that, nor for decisions.
+//! This crate accepts callers' HTTP requests, feeds events to the decision logic in
+//! `jujube_core::pipeline` and carries out its decisions. It follows the configuration and the
+//! registrations in a store, and one entry at a time, the planner, assigns the models' layers to
+//! servers. A [`dialect::Dialect`] maps the platform's wire format; neither wire formats nor
+//! decision logic belong in this crate.
 
 mod answer;
 mod body;
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, served as text.
+//! Counters and latency histograms in the text exposition format.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,19 +7,19 @@
 use hdrhistogram::Histogram;
 use jujube_core::time::Span;
 
-/// The upper bounds of the buckets that are served, in milliseconds: from a plain answer's 15 ms over
-/// the users' targets (100, 150, 200, 500 ms) to a caller's patience.
+/// Upper bounds of the exported buckets in milliseconds: from a plain response (15 ms) past the
+/// latency targets (100, 150, 200 and 500 ms) to callers' timeouts.
 const BOUNDS_MS: [u64; 12] = [
     10, 25, 50, 100, 150, 200, 300, 500, 1_000, 2_000, 5_000, 20_000,
 ];
-/// The longest latency that is told apart, in milliseconds; a minute is over every deadline.
+/// The largest recorded latency in milliseconds, longer than any deadline.
 const LONGEST_MS: u64 = 60_000;
-/// Significant digits of the histograms: one in a hundred.
+/// The precision of the histograms in significant decimal digits.
 const DIGITS: u8 = 2;
 
 /// Counters and histograms of one entry.
 ///
-/// They live on the thread that serves requests: an increment is a look-up in a short map, no lock.
+/// They are confined to the thread that serves requests, so recording needs no lock.
 #[derive(Debug, Default)]
 pub struct Metrics {
     counters: RefCell<BTreeMap<&'static str, u64>>,
@@ -27,7 +27,7 @@
 }
 
 impl Metrics {
-    /// Counts one.
+    /// Increments a counter.
     pub fn count(&self, name: &'static str) {
         self.add(name, 1);
     }
@@ -37,21 +37,21 @@
         *self.counters.borrow_mut().entry(name).or_default() += count;
     }
 
-    /// Books a latency.
+    /// Records a latency.
     pub fn observe(&self, name: &'static str, span: Span) {
         let mut histograms = self.histograms.borrow_mut();
         if let Some(histogram) = histograms.get_mut(name) {
             histogram.saturating_record(span.0);
             return;
         }
-        // The bounds are constants that the library takes.
+        // These bounds are valid, so the constructor succeeds.
         if let Ok(mut histogram) = Histogram::new_with_bounds(1, LONGEST_MS, DIGITS) {
             histogram.saturating_record(span.0);
             histograms.insert(name, histogram);
         }
     }
 
-    /// Returns everything in the text form that metric collectors read.
+    /// Returns all metrics in the text exposition format.
     pub fn text(&self, gauges: &[(&str, f64)]) -> String {
         let mut text = String::new();
         for (name, count) in self.counters.borrow().iter() {
@@ -84,6 +84,6 @@
 }
 
 fn line(text: &mut String, line: &str) {
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _infallible = writeln!(text, "{line}");
 }
--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -1,4 +1,4 @@
-//! The planner: one entry at a time places the models' layers.
+//! The planner: the one entry at a time that assigns the models' layers to servers.
 
 mod order;
 mod term;
@@ -23,24 +23,24 @@
 use term::Tenure;
 use term::Term;
 
-/// How long the planner's lease lasts without renewal: a planner that dies is replaced within that
-/// time, while every layer still has its other holders. With half of it no more was served.
+/// The TTL of the planner's lease. A dead planner is replaced within this time; meanwhile layers
+/// have other holders.
 const TTL: Span = Span(3_000);
 
-/// Who is the planner, as the store and the other entries tell it.
+/// Who is the planner, according to the store and to gossip.
 #[derive(Debug, Default)]
 pub struct Leadership {
     is_held: Cell<bool>,
     changed: tokio::sync::Notify,
-    /// The number under which this entry gives orders, if it does.
+    /// The fencing token of this entry while it is the planner.
     own: Cell<Option<Token>>,
-    /// How often the store has come back from an older copy.
+    /// How often the store has been restored from an older backup.
     restores: Cell<u64>,
     sight: Cell<Sight>,
 }
 
 impl Leadership {
-    /// Books whether the lease is held.
+    /// Records whether the planner's lease is held.
     pub fn heard(&self, is_held: bool) {
         self.is_held.set(is_held);
         if !is_held {
@@ -48,25 +48,26 @@
         }
     }
 
-    /// Books that the store has come back from an older copy: it may have forgotten who has the office.
+    /// Records that the store was restored from an older backup and may have lost the planner's
+    /// lease.
     pub fn restored(&self) {
         self.restores.set(self.restores.get() + 1);
         self.changed.notify_waiters();
     }
 
-    /// Returns the number under which this entry gives orders, if it does.
+    /// Returns the fencing token of this entry while it is the planner.
     pub fn own(&self) -> Option<Token> {
         self.own.get()
     }
 
-    /// Books that an order under a number was refused, since a later one was used.
+    /// Records that an order was refused because a later token has been used.
     pub fn refused(&self, token: Token) {
         let mut sight = self.sight.get();
         sight.refused(token);
         self.sight.set(sight);
     }
 
-    /// Takes another entry's word on whether it is the planner.
+    /// Records another entry's report on whether it is the planner.
     pub fn heard_entry(&self, now: Instant, entry: SocketAddr, token: Option<Token>) {
         let mut sight = self.sight.get();
         let before = sight.planner(now);
@@ -78,7 +79,7 @@
     }
 }
 
-/// Stands for the office whenever nobody holds it, until the process ends.
+/// Campaigns for the planner's lease whenever it is free, until the process ends.
 pub async fn run<D: Dialect, F: Feed>(state: Rc<State<D>>, store: F) {
     loop {
         if let Some(term) = begin(&state, &store).await {
@@ -92,10 +93,10 @@
     }
 }
 
-/// How long an entry waits for each one before it to stand for the office, and for how many of them.
+/// The delay per entry of lower rank before this entry campaigns, and the maximum rank that counts.
 ///
-/// The store tells all entries at the same moment that the office is free, and each that stands for it makes four
-/// calls; it takes the winner some 20 ms, and half a second or more until the others hear of it.
+/// All entries learn at the same moment that the lease is free, and each campaign makes four calls
+/// to the store. The winner needs some 20 ms; the others learn of it half a second later or more.
 const TURN: Duration = Duration::from_millis(100);
 const MOST_TURNS: usize = 20;
 
@@ -104,7 +105,7 @@
     TURN * before.min(MOST_TURNS) as u32
 }
 
-/// Begins a term, if the office is free or this entry is to stand in.
+/// Begins a term if the lease is free or this entry is to act as deputy.
 async fn begin<D: Dialect, F: Feed>(state: &Rc<State<D>>, store: &F) -> Option<Rc<Term<D, F>>> {
     if !state.is_ready() {
         return None;
--- a/crates/front/src/planner/order.rs
+++ b/crates/front/src/planner/order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, each seen through.
+//! Delivery of placement orders to engines.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,13 +18,13 @@
 
 use super::term::Term;
 
-/// How long an order may take to be answered.
+/// The timeout of an order.
 const ANSWER: Duration = Duration::from_millis(800);
-/// How long to wait before an order that was refused or lost is given again.
+/// The pause before a refused or unanswered order is sent again.
 const AGAIN: Duration = Duration::from_millis(700);
 
 impl<D: Dialect, F: Feed> Term<D, F> {
-    /// Gives an order, unless it was given already.
+    /// Starts the delivery of an order unless it was given already.
     pub(super) fn give(self: &Rc<Self>, order: Order) {
         let known = self.state.roster.borrow().get(&order.server).cloned();
         let Some(known) = known else {
@@ -41,7 +41,7 @@
         tokio::task::spawn_local(self.clone().place(order, address));
     }
 
-    /// Sees one order through: what happened is read from the server, never assumed.
+    /// Delivers one order; after a failure the server's report decides what to do next.
     async fn place(self: Rc<Self>, order: Order, address: SocketAddr) {
         let name = &order.server;
         let mut known = self.orders_taken(name, address).await;
@@ -76,7 +76,7 @@
                     return;
                 }
                 Ok(Ok(StatusCode::PRECONDITION_FAILED)) => {
-                    // A later planner has given orders: this term is over.
+                    // A later planner has given orders, so this term is over.
                     self.is_over.set(true);
                     self.state.leadership.refused(self.lead.get().token);
                     return;
@@ -105,9 +105,10 @@
         }
     }
 
-    /// Returns how many orders a server is known to have taken.
+    /// Returns how many orders a server has accepted.
     ///
-    /// One that holds layers has taken orders of a planner before, and would refuse an order that names another number.
+    /// A server that holds layers has accepted orders of an earlier planner and would refuse an
+    /// order with another count.
     async fn orders_taken(&self, name: &Incarnation, address: SocketAddr) -> u64 {
         if let Some(taken) = self.taken.borrow().get(name) {
             return *taken;
@@ -125,7 +126,7 @@
         report.is_ok_and(|report| report.busy)
     }
 
-    /// Tells whether no request can pass through the whole model whose layers an order is about.
+    /// Returns whether no path exists through the model that an order belongs to.
     fn is_dark(&self, order: &Order) -> bool {
         let roster = self.state.roster.borrow();
         let fleets = self.state.fleets.borrow();
@@ -134,7 +135,7 @@
         fleet.is_some_and(|fleet| !fleet.is_whole())
     }
 
-    /// Tells whether an order is still the last one for its server.
+    /// Returns whether an order is still the latest one for its server.
     fn is_wanted(&self, order: &Order) -> bool {
         !self.is_over.get() && self.orders.borrow().is_wanted(order)
     }
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -1,4 +1,4 @@
-//! A term of office: the lease, and what the plan asks for now.
+//! A planner's term: its authority, and the orders that the current plan requires.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -28,45 +28,45 @@
 
 use super::TTL;
 
-/// How often it is renewed; two renewals may be lost.
+/// How often the lease is renewed; two renewals may fail.
 const RENEW: Duration = Duration::from_millis(900);
-/// How often the plan is looked at when nothing changes.
+/// How often the plan is checked when nothing changes.
 const LOOK: Duration = Duration::from_millis(250);
-/// How long the registrations must have been quiet before empty servers are placed for the first
-/// time: each placed too early would be placed without knowing the others.
+/// How long the number of registrations must have been stable before empty servers are first
+/// placed, so that all of them are known.
 const SETTLED: Span = Span(700);
 const _: () = assert!(
     SETTLED.0 > follow::GATHER_PLANNER.0,
     "registrations are not quiet between two looks at them"
 );
-/// How long a server that joined empty waits for the word of the one that it replaces; in the users'
-/// releases that comes a quarter of a second to a second later.
+/// How long a server that joined empty waits for the drain of the server that it replaces, which
+/// usually follows within a second.
 const JOINING: Span = Span(1_300);
-/// How often all servers are asked what they hold while the store is away.
+/// How often servers are asked for the layers they hold while the store is unavailable.
 const ASK: Duration = Duration::from_millis(1_000);
-/// By what right a term is served.
+/// The source of a planner's authority.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Tenure {
-    /// The lease in the store.
+    /// The planner's lease in the store.
     Lease(Lease),
-    /// The planner is gone and the store can make no other.
+    /// The planner is gone, and the store cannot elect another.
     Deputy,
 }
 
-/// A term of office.
+/// A planner's term.
 pub(super) struct Term<D, F> {
     pub(super) state: Rc<State<D>>,
     pub(super) store: F,
     pub(super) lead: Cell<Lead>,
     pub(super) tenure: Tenure,
     pub(super) is_over: Cell<bool>,
-    /// How often the store had come back from an older copy when the term began.
+    /// How often the store had been restored when the term began.
     restores: u64,
     pub(super) orders: RefCell<Assignments>,
-    /// How many orders each server is known to have taken.
+    /// The number of orders that each server is known to have accepted.
     pub(super) taken: RefCell<BTreeMap<Incarnation, u64>>,
-    /// What the last plan of each model was made from. Planning takes some milliseconds, in which
-    /// no event is passed on, and the same holders give the same plan.
+    /// The input of the last plan of each model. Planning blocks the event loop for some
+    /// milliseconds, and the same input gives the same plan.
     pub(super) planned: RefCell<BTreeMap<Service, Vec<Holder>>>,
 }
 
@@ -120,10 +120,10 @@
         log::info!("event=planner-lost token={}", self.lead.get().token);
     }
 
-    /// Tells whether a deputy is still needed.
+    /// Returns whether a deputy is still needed.
     ///
-    /// The store is back some seconds before the lease of the planner that is gone has run out; until
-    /// then nobody else can have the office. A planner that is heard again has it, or another deputy.
+    /// The store recovers some seconds before the lease of the lost planner expires, and until then
+    /// no other entry can acquire it. A deputy stops when another planner or deputy is heard from.
     fn is_needed(&self) -> bool {
         let now = clock::now();
         let state = &self.state;
@@ -138,11 +138,12 @@
         state.leadership.is_held.get() && is_lapsing
     }
 
-    /// Tells whether orders may be given.
+    /// Returns whether orders may be given.
     ///
-    /// While the store answers nobody, no other planner can be made, and what dies would stay unmended
-    /// until it is back: this one goes on, under the fencing number that is still the highest. An entry
-    /// that the store serves may have been made planner, so one such entry ends this.
+    /// While the store is unavailable to all entries, no other planner can be elected, and lost
+    /// layers would stay without a holder. This planner then continues under its fencing token,
+    /// which is still the highest. It stops once any entry can reach the store, because that entry
+    /// may have become planner.
     pub(super) fn may_order(&self) -> bool {
         if self.is_forgotten() {
             return false;
@@ -152,16 +153,17 @@
         is_office_open || self.state.is_store_away_for_all()
     }
 
-    /// Tells whether the store may have forgotten this term, so that another entry may have the office as well.
+    /// Returns whether a restored store may have lost this term's lease, so that another entry may
+    /// hold it too.
     fn is_forgotten(&self) -> bool {
         self.restores != self.state.leadership.restores.get()
     }
 
-    /// Hands the office on before this process stops: else nobody places layers until the lease has
-    /// run out.
+    /// Gives up the planner's role before this process stops; otherwise layers would not be placed
+    /// until the lease has expired.
     async fn resign(&self) {
         self.is_over.set(true);
-        // The others hear at once that the office is free, also where the store does not.
+        // Gossip reports the vacancy at once, even during an outage of the store.
         self.state.leadership.own.set(None);
         self.state.is_news.notify_waiters();
         let Tenure::Lease(lease) = self.tenure else {
@@ -187,8 +189,8 @@
                     self.lead.set(lead);
                 }
                 Ok(false) => self.is_over.set(true),
-                // An outage of the store: no orders once the lease may have ended, and whoever
-                // finds it free when the store is back begins a new term.
+                // The store is unavailable. Orders stop once the lease may have expired; after the
+                // recovery, any entry that finds it free begins a new term.
                 Err(error) => {
                     let cause = error.to_string().replace(' ', "-");
                     log::info!("event=lease-not-renewed cause={cause}");
@@ -203,11 +205,11 @@
         }
     }
 
-    /// Asks every server what it holds while the store, which would tell, is away, and those that are slow
-    /// how slow they still are.
+    /// Asks servers for the layers they hold while the store, the usual source, is unavailable, and
+    /// slow servers for their current slowdown.
     ///
-    /// The others are not asked: how fast they are shows in the streams that fall behind, and each question
-    /// is paid for. Asking all once a second was a third of all questions, and served no more.
+    /// Other servers are not asked, because requests cost bandwidth: a slowdown shows in streams
+    /// that fall behind.
     async fn watch_holders(self: Rc<Self>) {
         while !self.is_over.get() {
             tokio::time::sleep(ASK).await;
@@ -230,7 +232,7 @@
         self.state.told.borrow_mut().clear();
     }
 
-    /// Returns the servers to ask: those that are slow, and all of them while the store is away.
+    /// Returns the servers to ask: all while the store is unavailable, otherwise the slow ones.
     fn doubtful(&self) -> Vec<(Incarnation, SocketAddr)> {
         let roster = self.state.roster.borrow();
         let load = self.state.load.borrow();
@@ -245,7 +247,7 @@
         engines.collect()
     }
 
-    /// Gives the orders that the plan asks for now.
+    /// Gives the orders that the current plan requires.
     fn look(self: &Rc<Self>, is_settled: bool) {
         let Some(table) = self.state.table() else {
             return;
@@ -316,7 +318,8 @@
     }
 }
 
-/// Tells whether a plan would be made from the same; how much passes decides only who moves, not whether anybody is to.
+/// Returns whether two inputs give the same plan; the numbers of requests affect only which servers
+/// move, not whether any do.
 fn is_same_to_plan(before: &[Holder], now: &[Holder]) -> bool {
     let without_requests = |holders: &[Holder]| -> Vec<Holder> {
         let holders = holders.iter().cloned();
--- a/crates/front/src/ready.rs
+++ b/crates/front/src/ready.rs
@@ -1,4 +1,4 @@
-//! The addresses for the platform's question whether callers may be sent here, and for metrics.
+//! The HTTP endpoints for readiness checks and metrics.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -15,13 +15,12 @@
 use crate::dialect::Dialect;
 use crate::state::State;
 
-/// The path of the metrics.
 const METRICS: &str = "/metrics";
 
-/// Answers on one listener until the process ends.
+/// Serves one listener until the process ends.
 pub async fn serve<D: Dialect>(state: Rc<State<D>>, listener: TcpListener) {
     loop {
-        // An accept that fails concerns one connection; the next one may succeed.
+        // A failed accept affects one connection; the next may succeed.
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             continue;
--- a/crates/front/src/reload.rs
+++ b/crates/front/src/reload.rs
@@ -1,4 +1,4 @@
-//! Takes changes of the settings file while running.
+//! Applies changes of the settings file at run time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,13 +11,12 @@
 use crate::settings::Settings;
 use crate::state::State;
 
-/// How often the file is read without being told: it may change without a signal.
+/// How often the file is checked; it may change without a SIGHUP.
 const LOOK: Duration = Duration::from_secs(2);
 
-/// Takes changes until the process ends.
+/// Applies changes until the process ends.
 ///
-/// Retry terms and the log level are taken at once. Addresses and names hold for the life of the
-/// process; a change of these is logged.
+/// Retry terms and the log level take effect at once; other settings need a restart.
 pub async fn run<D: Dialect>(state: Rc<State<D>>) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
--- a/crates/front/src/restore.rs
+++ b/crates/front/src/restore.rs
@@ -1,4 +1,4 @@
-//! What an entry does when the store has come back from an older copy.
+//! Recovery after the store was restored from an older backup.
 
 use jujube_core::pipeline::era::Era;
 use jujube_core::revision::Revision;
@@ -11,19 +11,21 @@
 use crate::slack;
 use crate::state::State;
 
-/// The start of the keys that mark eras; the number follows.
+/// The prefix of the keys that mark eras; the era's number follows.
 const ERAS: &str = "jujube/era/";
-/// The end of the key that stands beside a mark while what was held before may matter.
+/// The suffix of the key that accompanies a mark while pieces held in an earlier era may still be
+/// in use.
 const SETTLING: &str = "/settling";
 
 fn mark_key(era: Era) -> String {
     format!("{ERAS}{era}")
 }
 
-/// Takes that the store has risen to a later era.
+/// Handles a restore of the store, which starts a later era.
 ///
-/// The configuration in force stays, since a lower version is never taken. What is known of registrations stays until
-/// it was read anew, and leases and pieces of the retry slack are given up, for the store may have forgotten them.
+/// The configuration in force stays, since an older version is never applied. Registrations are
+/// kept until they have been read again. Leases and pieces of the retry slack are dropped, because
+/// the store may have lost them.
 pub fn take<D>(state: &State<D>, era: Era) {
     let pieces = state.retries.pieces();
     state.roster.borrow_mut().restored(clock::now());
@@ -38,7 +40,7 @@
     );
 }
 
-/// Takes whether an era is marked and settling, if a change tells that.
+/// Records whether an era is marked and settling, if a change says so.
 pub fn take_mark<D>(state: &State<D>, change: &Change) {
     let Some(rest) = change.key.strip_prefix(ERAS) else {
         return;
@@ -59,7 +61,7 @@
     state.settling.set(settling);
 }
 
-/// Takes all that the store holds, in an era.
+/// Records the era of a snapshot and its marks.
 pub fn take_all<D>(state: &State<D>, era: Option<Era>, changes: &[Change]) {
     let mut settling = state.settling.get();
     settling.set_era(era);
@@ -74,23 +76,24 @@
     allow_pieces(state);
 }
 
-/// Lets pieces be used, or not, as the present era allows.
+/// Allows or forbids the use of pieces according to the current era.
 pub fn allow_pieces<D>(state: &State<D>) {
     let is_settling = !state.settling.get().is_over();
     let mut reserve = state.retries.reserve.borrow_mut();
     reserve.set_settling(is_settling);
 }
 
-/// Tells whether a store shows that an era was marked, or a piece held.
+/// Returns whether a snapshot contains a mark of an era or a held piece.
 pub fn shows_earlier(changes: &[Change]) -> bool {
     let is_earlier =
         |change: &Change| change.key.starts_with(ERAS) || slack::piece(&change.key).is_some();
     changes.iter().any(is_earlier)
 }
 
-/// Marks an era that nobody has marked yet, in a store that shows that there was one before, or does not.
+/// Marks the current era unless it is marked already; `shows_earlier` says whether the snapshot
+/// contained traces of an earlier era.
 ///
-/// Pieces are taken only once there is a mark, so a store that shows neither has seen none held.
+/// Pieces are acquired only once a mark exists, so a store with neither has never had pieces held.
 pub async fn mark<D, F: Feed>(state: &State<D>, store: &F, shows_earlier: bool) {
     let Some(era) = store.era().filter(|_| state.settling.get().lacks_mark()) else {
         return;
@@ -122,7 +125,7 @@
     }
 }
 
-/// The mark is written when pieces are looked after next; until then none are used.
+/// Logs the failure. The slack task marks the era later; until then no pieces are used.
 fn failed(era: Era, cause: &str) {
     let cause = cause.replace(' ', "-");
     log::info!("event=era-not-marked era={era} cause={cause}");
--- a/crates/front/src/retries.rs
+++ b/crates/front/src/retries.rs
@@ -1,4 +1,4 @@
-//! The retries of an entry: who may send a request once more, and why not.
+//! The retry budget of an entry.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -18,53 +18,55 @@
 use jujube_program::clock;
 use tokio::sync::oneshot;
 
-/// How long a retry may be in hand before it is sent; after that it is taken anew, since it is counted from
-/// when it was taken.
+/// How long a retry may be reserved before it is sent. It counts from the reservation, so an older
+/// one must be acquired again.
 const FRESH: Span = Span(500);
 
-/// How long an entry uses its pieces of the slack while the store does not renew its lease. Most outages
-/// last for under ten seconds; after a longer one, pieces of entries that are gone are held for as much longer.
+/// How long an entry uses its pieces of the slack while the store does not renew its lease. Most
+/// outages are shorter than ten seconds; a longer time would also keep the pieces of dead entries
+/// held for longer.
 const TRUSTED: Span = Span(15_000);
 
-/// How often requests that wait for a retry are looked through while there are any: requests that come pay for
-/// one every few hundred milliseconds.
+/// How often waiting requests are checked for an available retry; incoming requests pay for one
+/// every few hundred milliseconds.
 const LOOK: Duration = Duration::from_millis(50);
 
 type Allowances = Rc<RefCell<BTreeMap<Service, Allowance>>>;
 
 /// The retries of an entry.
 pub struct Retries {
-    /// What all entries together may send.
+    /// The limits that all entries share.
     terms: Cell<Terms>,
     allowances: Allowances,
-    /// How long this entry's lease lasts without renewal: until what it sent last matters no more.
+    /// The TTL of this entry's lease in the store: until the last retry it sent has left the
+    /// window.
     pub lease: Span,
     /// This entry's pieces of the slack.
     pub reserve: RefCell<Reserve>,
-    /// When the announcement was written under whose lease they are held.
+    /// The revision of the announcement under whose lease the pieces are held.
     pub announced: Cell<Revision>,
-    /// How many retries were denied since pieces were last asked for.
+    /// The retries denied since pieces were last requested.
     denied: RefCell<BTreeMap<Service, u64>>,
     waiting: RefCell<BTreeMap<Service, VecDeque<oneshot::Sender<Retry>>>>,
-    /// Told when requests wait for retries, or more may be had.
+    /// Notified when requests start to wait for retries, or more retries may be available.
     pub changed: tokio::sync::Notify,
-    /// Told when pieces of the slack are needed.
+    /// Notified when pieces of the slack are needed.
     pub needed: tokio::sync::Notify,
 }
 
-/// What decided on a retry.
+/// The inputs of a decision on a retry, for logging.
 #[derive(Clone, Copy, Debug)]
 pub struct Decision {
-    /// What was spent, paid for and left.
+    /// The balance of the retry budget.
     pub grounds: Grounds,
     /// How many pieces of the slack this entry holds.
     pub pieces: u64,
-    /// Whether it may use them.
+    /// Whether the pieces may be used.
     pub is_trusted: bool,
 }
 
 impl Retries {
-    /// Returns the retries of an entry that has sent none.
+    /// Creates the retry budget of an entry that has sent no retries.
     pub fn new(terms: Terms) -> Self {
         let lease = Span(TRUSTED.0 + terms.reach().0);
         Self {
@@ -80,37 +82,37 @@
         }
     }
 
-    /// Returns what all entries together may send.
+    /// Returns the limits that all entries share.
     pub fn terms(&self) -> Terms {
         self.terms.get()
     }
 
-    /// Takes new terms.
+    /// Replaces the limits.
     pub fn set_terms(&self, terms: Terms) {
         self.terms.set(terms);
         self.reserve.borrow_mut().set_reach(terms.reach());
     }
 
-    /// Books a request to a service.
+    /// Records a request to a service.
     pub fn request(&self, service: &Service) {
         let mut allowances = self.allowances.borrow_mut();
         let allowance = allowances.entry(service.clone()).or_default();
         allowance.request(clock::now(), &self.terms.get());
     }
 
-    /// Returns how many pieces of the slack this entry holds, over all services.
+    /// Returns how many pieces of the slack this entry holds for all services.
     pub fn pieces(&self) -> u64 {
         let reserve = self.reserve.borrow();
         let services = self.services();
         services.iter().map(|service| reserve.held(service)).sum()
     }
 
-    /// Returns the services that got requests.
+    /// Returns the services that have received requests.
     pub fn services(&self) -> Vec<Service> {
         self.allowances.borrow().keys().cloned().collect()
     }
 
-    /// Takes a retry, if there is one; else one is needed.
+    /// Acquires a retry if one is available; otherwise records the need for one.
     pub fn take(&self, service: &Service) -> (Option<Retry>, Decision) {
         let (retry, decision) = self.try_take(service);
         if retry.is_none() {
@@ -145,7 +147,8 @@
         (retry, decision)
     }
 
-    /// Returns how many retries of a service are needed: those waited for, or denied since this was last asked.
+    /// Returns how many retries of a service are needed: the larger of those waited for and those
+    /// denied since the last call.
     pub fn take_needed(&self, service: &Service) -> u64 {
         let denied = self.denied.borrow_mut().remove(service).unwrap_or(0);
         let waiting = self.waiting.borrow();
@@ -153,12 +156,12 @@
         denied.max(awaited)
     }
 
-    /// Tells whether requests wait for retries.
+    /// Returns whether requests wait for retries.
     pub fn is_awaited(&self) -> bool {
         !self.waiting.borrow().is_empty()
     }
 
-    /// Tells whether requests paid for all retries that still matter, but for a part of the slack.
+    /// Returns whether requests and `kept` retries of the slack cover all retries in the window.
     pub fn can_spare(&self, service: &Service, kept: f64) -> bool {
         let mut allowances = self.allowances.borrow_mut();
         let Some(allowance) = allowances.get_mut(service) else {
@@ -169,7 +172,7 @@
         grounds.paid + grounds.share >= grounds.spent as f64
     }
 
-    /// Waits for a retry, in the order of arrival; whoever gives up drops the receiver.
+    /// Waits for a retry in order of arrival; dropping the receiver cancels the wait.
     pub fn wait(&self, service: &Service) -> oneshot::Receiver<Retry> {
         let (sender, receiver) = oneshot::channel();
         let mut waiting = self.waiting.borrow_mut();
@@ -181,7 +184,8 @@
         receiver
     }
 
-    /// Gives retries to those who wait for them, first come first served; tells whether any still wait.
+    /// Hands available retries to waiting requests in order of arrival; returns whether any still
+    /// wait.
     fn serve(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
         for (service, line) in &mut *waiting {
@@ -190,7 +194,7 @@
                 let (Some(retry), _) = self.try_take(service) else {
                     break;
                 };
-                // Whoever gave up meanwhile gives the retry back by dropping it.
+                // If the waiter has given up meanwhile, dropping the retry releases it.
                 let _unused = line.pop_front().map(|waiter| waiter.send(retry));
             }
         }
@@ -198,7 +202,7 @@
         !waiting.is_empty()
     }
 
-    /// Gives retries to those who wait for them until the process ends.
+    /// Hands retries to waiting requests until the process ends.
     pub async fn run(&self) {
         loop {
             let is_awaited = self.serve();
@@ -211,11 +215,11 @@
     }
 }
 
-/// The right to send a request once more; given back when it is dropped unsent.
+/// The right to send one retry; released if it is dropped unsent.
 ///
-/// It is taken when the way of a stream is chosen, before its present run is given up. Were it only looked for
-/// then and taken later, all streams of a dead server would see the same last retry, give up their runs for it,
-/// and all but one would be cut although some could have been repaired.
+/// It is acquired before the current run of a stream is abandoned. If streams only checked for an
+/// available retry and acquired it later, all streams of a dead server would abandon their runs for
+/// the same last retry, and all but one would be cut even where a repair was possible.
 pub struct Retry {
     allowances: Allowances,
     service: Service,
@@ -224,12 +228,12 @@
 }
 
 impl Retry {
-    /// Tells whether it may still be sent.
+    /// Returns whether it may still be sent.
     pub fn is_fresh(&self) -> bool {
         clock::now().since(self.taken) <= FRESH
     }
 
-    /// Takes that it is being sent, or that it was not sent after all.
+    /// Records whether it has been sent; a failed send can undo this.
     pub fn set_sent(&mut self, is_sent: bool) {
         self.is_sent = is_sent;
     }
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry.
+//! The settings file of an entry.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,56 +16,56 @@
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The name of this entry, for logs and for the planner's lease.
+    /// The name of this entry, used in logs and in the store.
     pub name: Arc<str>,
     /// Its availability zone.
     pub zone: Zone,
-    /// Where callers call.
+    /// The address for callers.
     pub listen: SocketAddr,
-    /// Where the platform asks whether callers may be sent here.
+    /// The address for the platform's readiness checks.
     pub ready: SocketAddr,
-    /// Where counters and histograms are served.
+    /// The address that serves metrics.
     pub metrics: SocketAddr,
-    /// Where other entries tell this one what they have in flight.
+    /// The address for gossip with other entries.
     pub gossip: SocketAddr,
-    /// How long after a request to stop the process is killed.
+    /// How long after a termination signal the platform kills the process.
     pub stop: Duration,
-    /// The store.
+    /// The address of the store.
     pub store: SocketAddr,
-    /// How soon what is written to the store must be in force.
+    /// How soon changes in the store must take effect.
     pub fresh: Freshness,
-    /// What the retry budget allows over all entries.
+    /// The retry budget of all entries together.
     pub retry: Terms,
-    /// Logs.
+    /// Logging.
     pub telemetry: Telemetry,
-    /// The file that the settings came from.
+    /// The path of the settings file.
     pub file: Arc<Path>,
 }
 
-/// How soon what is written to the store must be in force.
+/// How soon changes in the store must take effect.
 #[derive(Clone, Copy, Debug)]
 pub struct Freshness {
-    /// How long a VM must have been without trouble for its delays to count.
+    /// How long a VM must have been free of faults for the time limits to apply.
     pub contact: Span,
-    /// Within what time a configuration, or the word that a server leaves, must be in force.
+    /// The time limit for applying a configuration or a server's drain.
     pub apply: Span,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or a setting is wrong; one line for each fault.
+    /// The file cannot be read, or settings are invalid; one line per invalid setting.
     pub fn read(path: &Path) -> Result<Self> {
         Self::take(File::open(path)?, path)
     }
 
-    /// Checks settings that were read.
+    /// Validates parsed settings.
     ///
     /// # Errors
     ///
-    /// A setting is wrong; one line for each fault.
+    /// Settings are invalid; one line per invalid setting.
     ///
     /// # Examples
     ///
--- a/crates/front/src/slack.rs
+++ b/crates/front/src/slack.rs
@@ -1,4 +1,4 @@
-//! The pieces of the retry budget's slack in the store: taken when they are needed, given back later.
+//! Acquires and returns pieces of the retry slack in the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,20 +19,20 @@
 use crate::restore;
 use crate::state::State;
 
-/// The start of the keys of pieces; the service and the number follow.
+/// The prefix of the keys of pieces; the service and the piece's number follow.
 const PIECES: &str = "jujube/slack/";
-/// The most pieces of one call: a transaction takes 32 rows, and each piece has a condition and a write.
+/// The most pieces per transaction, which takes 32 rows: each piece needs a condition and a write.
 const MOST_AT_ONCE: usize = 12;
-/// How often pieces are looked after when nobody asks for any.
+/// How often pieces are checked when nothing asks for any.
 const LOOK: Duration = Duration::from_millis(2_000);
-/// How often while requests wait for retries: others may have taken the pieces that were asked for, or have given
-/// some back.
+/// How often pieces are checked while requests wait for retries: other entries may have won the
+/// requested pieces or returned some.
 const LOOK_AWAITED: Duration = Duration::from_millis(200);
-/// How long after pieces were asked for more are asked for: as long as the store usually takes for both, some
-/// times over, so that the need that is known by then is served with few calls.
+/// The pause between two acquisitions, several times the store's usual response time: demand that
+/// arrives meanwhile is served by one call.
 const AGAIN: Duration = Duration::from_millis(40);
 
-/// Returns the piece that a key is of.
+/// Returns the service and the piece that a key belongs to.
 pub fn piece(key: &str) -> Option<(Service, Piece)> {
     let (service, piece) = key.strip_prefix(PIECES)?.rsplit_once('/')?;
     Some((service.into(), piece.parse().ok()?))
@@ -42,7 +42,8 @@
     format!("{PIECES}{service}/{piece}")
 }
 
-/// Returns a piece as the store tells it. A value that cannot be read is somebody else's: the piece is not free.
+/// Returns the holder of a piece. A value that cannot be parsed counts as held by another writer,
+/// so that the piece is not free.
 pub fn record(change: &Change) -> Option<Record> {
     let value = change.value.as_ref()?;
     let tenure = match value {
@@ -53,7 +54,7 @@
     Some(Record { tenure, revision })
 }
 
-/// Takes and gives back pieces until the process ends.
+/// Acquires and returns pieces until the process ends.
 pub async fn run<D, F: Feed>(state: Rc<State<D>>, store: F) {
     loop {
         let needed = state.retries.needed.notified();
@@ -61,7 +62,8 @@
         let pause = if is_awaited { LOOK_AWAITED } else { LOOK };
         let is_told = tokio::time::timeout(pause, needed).await.is_ok();
         let is_idle = !is_told && !is_awaited;
-        // A mark may have been refused; what the store showed then is not known any more.
+        // The mark may have failed before; the first snapshot is not kept, so assume an earlier
+        // era.
         restore::mark(&state, &store, true).await;
         for service in state.retries.services() {
             if !take(&state, &store, &service).await && is_idle {
@@ -72,7 +74,7 @@
     }
 }
 
-/// Returns how many more pieces of a service to hold.
+/// Returns how many more pieces of a service are needed.
 fn lack<D>(state: &State<D>, service: &Service) -> usize {
     let entries = state.peers.count();
     let held = state.retries.reserve.borrow().held(service);
@@ -88,7 +90,7 @@
     needed.max(rest).min(most) as usize
 }
 
-/// Takes pieces that are needed; tells whether any were.
+/// Acquires the pieces that are needed; returns whether any were requested.
 async fn take<D, F: Feed>(state: &State<D>, store: &F, service: &Service) -> bool {
     let lack = lack(state, service).min(MOST_AT_ONCE);
     let tenure = state.retries.reserve.borrow().tenure();
@@ -101,7 +103,7 @@
     if count == 0 {
         return false;
     }
-    // Any of them, so that entries that need some at the same moment seldom want the same.
+    // Random ones, so that entries that acquire at the same time rarely conflict.
     let draw = |_| free.swap_remove(rand::random_range(0..free.len()));
     let pieces: Vec<Piece> = (0..count).map(draw).collect();
     let conditions = pieces.iter().map(|piece| Condition {
@@ -130,10 +132,11 @@
     true
 }
 
-/// Gives back pieces that requests have paid for and that are over what is held at rest, once few are left for others.
+/// Returns pieces beyond the resting number whose retries requests have paid for, once few are free
+/// for other entries.
 ///
-/// Each change to the store is told to every entry and paid for by it: given back at once, and taken again at the next
-/// need, a hundred entries' pieces were most of all calls to the store on a calm day.
+/// Every change in the store is sent to every entry, so pieces aren't returned only to be acquired
+/// again for the next retry.
 async fn give_back<D, F: Feed>(state: &State<D>, store: &F, service: &Service) {
     let pieces = spare(state, service);
     if pieces.is_empty() {
@@ -153,7 +156,7 @@
     log::info!("event=slack service={service} returned={count} outcome={outcome:?}");
 }
 
-/// Takes pieces out of use that are to be given back.
+/// Removes the pieces to return from use.
 fn spare<D>(state: &State<D>, service: &Service) -> Vec<(Piece, Revision)> {
     let rest = reserve::at_rest(state.peers.count());
     let kept = reserve::worth(state.retries.terms().slack) * rest as f64;
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry share; all run on one thread.
+//! The state shared by an entry's tasks, all of which run on one thread.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -37,82 +37,82 @@
 use crate::watchdog;
 use crate::watchdog::Streams;
 
-/// How far a stop has come.
+/// The stages of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Phase {
-    /// Callers are served.
+    /// The entry is ready and serves callers.
     #[default]
     Serving,
-    /// The platform is told to send no more callers; those that come are served.
+    /// The entry reports not ready; new requests are still served.
     Leaving,
-    /// New requests would not end before the process is killed; they are turned away.
+    /// New requests are refused: they might not complete before the process is killed.
     Closing,
 }
 
-/// What the tasks of an entry share.
+/// The state shared by an entry's tasks.
 pub struct State<D> {
-    /// What the platform calls things; its functions need no value.
+    /// The dialect, whose functions need no value.
     pub dialect: PhantomData<D>,
     /// When the process started.
     pub started: Instant,
-    /// The settings.
     pub settings: Settings,
     /// The configuration in force.
     pub table: RefCell<Option<Rc<Table>>>,
-    /// The backend servers.
+    /// The registered backend servers.
     pub roster: RefCell<Roster>,
-    /// Whether the store's era is settled.
+    /// Whether pieces of an earlier era may still be in use.
     pub settling: Cell<Settling>,
-    /// The values of the store that could not be read.
+    /// The values in the store that could not be decoded, already logged.
     pub malformed: Malformed,
-    /// Whether the registrations were ever read.
+    /// Whether the registrations have been read at least once.
     pub registered: Cell<bool>,
-    /// The servers of each model, as path choice sees them.
+    /// The servers of each model that paths are chosen from.
     pub fleets: RefCell<BTreeMap<Service, Rc<Fleet>>>,
     /// The models with layers that no server holds.
     pub gaps: Gaps,
-    /// What is in flight.
+    /// The requests in flight at each backend server.
     pub load: RefCell<Load>,
-    /// Who is suspected.
+    /// The suspected backend servers.
     pub suspicion: RefCell<Suspicion>,
-    /// Whether this entry keeps up with its own work.
+    /// Detects stalls of this process.
     pub pulse: RefCell<Pulse>,
-    /// Who fails too often.
+    /// The failure rates of backend servers.
     pub outliers: RefCell<Outliers>,
-    /// Told when the other entries should hear at once of a server that died or refuses.
+    /// Notified when a crash or a refusal should be reported to the other entries at once.
     pub is_news: tokio::sync::Notify,
-    /// What servers told this entry, as the planner, that they hold while the store is away.
+    /// The layers that servers reported to this entry, as the planner, while the store is
+    /// unavailable.
     pub told: RefCell<BTreeMap<Incarnation, Range>>,
-    /// What the planner has ordered servers to hold and they do not hold yet.
+    /// The layers that the planner has ordered servers to hold, until the servers report them.
     pub ordered: RefCell<BTreeMap<Incarnation, Range>>,
-    /// Retries, and this entry's part of their slack.
+    /// The retry budget, including this entry's pieces of the slack.
     pub retries: Retries,
-    /// Connections to backend servers.
+    /// The connections to backend servers.
     pub pool: Pool,
-    /// Questions to backend servers that are under way.
+    /// The probes of backend servers in progress.
     pub probes: Probes,
     /// The other entries.
     pub peers: Peers,
-    /// Requests that wait for room.
+    /// The requests waiting for capacity.
     pub waiting: Waiting,
-    /// Streams in flight.
+    /// The streams in flight.
     pub streams: Streams,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// How far a stop has come.
+    /// The stage of a graceful shutdown.
     pub phase: Cell<Phase>,
-    /// Told when a call to the store went unanswered.
+    /// Notified when a call to the store has failed or timed out.
     pub store_doubted: tokio::sync::Notify,
-    /// Whether there is a planner.
+    /// What is known about the planner.
     pub leadership: Leadership,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: Cell<u64>,
-    /// Told whenever placement may have to change.
+    /// Notified when the placement of layers may have to change.
     pub roster_changed: tokio::sync::Notify,
 }
 
 impl<D> State<D> {
-    /// Returns the state of an entry that knows nothing yet.
+    /// Creates the state of an entry that has read nothing from the store yet.
     pub fn new(settings: Settings) -> Self {
         let place = Place {
             zone: settings.zone.clone(),
@@ -156,13 +156,13 @@
         self.table.borrow().clone()
     }
 
-    /// Tells whether callers may be sent here.
+    /// Returns whether callers may be sent to this entry.
     pub fn is_ready(&self) -> bool {
         let known = self.table.borrow().is_some() && self.registered.get();
         known && self.phase.get() == Phase::Serving
     }
 
-    /// Takes one retry for a request; `None` when the retry budget has nothing left.
+    /// Acquires a retry for a request; `None` if the retry budget is exhausted.
     pub fn take_retry(&self, service: &Service, request: &str) -> Option<Retry> {
         let (retry, decision) = self.retries.take(service);
         let (outcome, counter) = match retry {
@@ -184,25 +184,25 @@
         retry
     }
 
-    /// Tells whether the store does not answer this entry.
+    /// Returns whether the store is unavailable to this entry.
     ///
-    /// An entry that starts in an outage has lost nothing yet. Were it taken for one that the store answers,
-    /// each restart would stop the others from going on without the store.
+    /// This includes an entry that starts during an outage. Counting it as connected would stop the
+    /// other entries from continuing without the store after each restart.
     pub fn is_store_away(&self) -> bool {
         !self.registered.get() || self.roster.borrow().is_store_away()
     }
 
-    /// Tells whether the store answers no entry at all, as far as is known here.
+    /// Returns whether the store is unavailable to all entries, as far as this entry knows.
     pub fn is_store_away_for_all(&self) -> bool {
         self.is_store_away() && self.peers.is_store_away()
     }
 
-    /// Returns where a registered backend server listens.
+    /// Returns the address of a registered backend server.
     pub fn address(&self, server: &Incarnation) -> Option<SocketAddr> {
         self.roster.borrow().get(server).map(|known| known.address)
     }
 
-    /// Returns what is believed of a backend server.
+    /// Returns the assumed state of a backend server.
     pub fn belief(&self, server: &Incarnation) -> Belief {
         let (roster, suspicion) = (self.roster.borrow(), self.suspicion.borrow());
         Belief::of(
@@ -214,17 +214,18 @@
         )
     }
 
-    /// Books that a request ended well at a backend server.
+    /// Records a successful request at a backend server.
     pub fn served(&self, server: &Incarnation) {
         self.outliers.borrow_mut().served(clock::now(), server);
     }
 
-    /// Books that a request failed at a backend server.
+    /// Records a failed request at a backend server.
     pub fn failed(&self, server: &Incarnation) {
         self.outliers.borrow_mut().failed(clock::now(), server);
     }
 
-    /// Books that a backend server refused a request, and tells the other entries.
+    /// Records that a backend server refused a request; the first refusal is reported to the other
+    /// entries at once.
     pub fn refused(&self, server: &Incarnation) {
         let mut load = self.load.borrow_mut();
         if load.refusals.refused(clock::now(), server) {
