--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -43,16 +43,16 @@
 /// How long new requests are still served after a termination signal. The platform checks readiness
 /// every second and stops sending callers after two failures; requests in flight need the rest of
 /// the time.
-const LEAVING: Duration = Duration::from_millis(3_000);
+const DRAIN_TIME: Duration = Duration::from_millis(3_000);
 /// How long before the platform kills the process it exits by itself.
-const BEFORE_KILL: Duration = Duration::from_millis(400);
+const KILL_MARGIN: Duration = Duration::from_millis(400);
 /// The smallest read buffer that hyper accepts.
-const LEAST_BUFFER: usize = 8_192;
+const MIN_BUFFER_BYTES: usize = 8_192;
 /// Upper bound of the read buffer, whatever the configured header limit: an entry serves some
 /// thousand connections with as little as 160 MB of memory.
-const MOST_BUFFER: usize = 64 << 10;
+const MAX_BUFFER_BYTES: usize = 64 << 10;
 /// How often a shutdown checks for requests in flight.
-const LOOK: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs an entry until it receives a termination signal.
 ///
@@ -68,8 +68,8 @@
 }
 
 async fn serve<D: Dialect, F: Feed>(settings: Settings, store: F) -> Result<()> {
-    let callers = bind(settings.listen).await?;
-    let asked = bind(settings.ready).await?;
+    let listener = bind(settings.listen).await?;
+    let readiness = bind(settings.ready).await?;
     let metrics = bind(settings.metrics).await?;
     let gossip = UdpSocket::bind(settings.gossip).await;
     let gossip = gossip.with_context(|| format!("listen on {}", settings.gossip))?;
@@ -81,14 +81,14 @@
         settings.store
     );
     let state = Rc::new(State::<D>::new(settings));
-    tokio::task::spawn_local(ready::serve(state.clone(), asked));
+    tokio::task::spawn_local(ready::serve(state.clone(), readiness));
     tokio::task::spawn_local(ready::serve(state.clone(), metrics));
     tokio::task::spawn_local(follow::run(state.clone(), store.clone()));
     tokio::task::spawn_local(follow::tidy(state.clone()));
     tokio::task::spawn_local(planner::run(state.clone(), store.clone()));
     tokio::task::spawn_local(gossip::announce(state.clone(), store.clone()));
     tokio::task::spawn_local(slack::run(state.clone(), store));
-    tokio::task::spawn_local(retries(state.clone()));
+    tokio::task::spawn_local(run_retries(state.clone()));
     tokio::task::spawn_local(gossip::run(state.clone(), gossip));
     tokio::task::spawn_local(probe::follow_suspects(state.clone()));
     tokio::task::spawn_local(probe::follow_dropped(state.clone()));
@@ -96,7 +96,7 @@
     tokio::task::spawn_local(waiting::run(state.clone()));
     tokio::task::spawn_local(reload::run(state.clone()));
     let (trigger, closing) = shutdown::pair();
-    tokio::task::spawn_local(accept(state.clone(), callers, closing));
+    tokio::task::spawn_local(accept(state.clone(), listener, closing));
     shutdown::terminated().await?;
     log::info!("event=stopping in_flight={}", state.in_flight.get());
     state.phase.set(Phase::Leaving);
@@ -106,7 +106,7 @@
     Ok(())
 }
 
-async fn retries<D: Dialect>(state: Rc<State<D>>) {
+async fn run_retries<D: Dialect>(state: Rc<State<D>>) {
     state.retries.run().await;
 }
 
@@ -120,19 +120,19 @@
 /// Connections stay open at first, and each response carries `Connection: close`. Closing idle
 /// connections at once would race with new requests on them, and callers would have to retry.
 async fn drain<D: Dialect>(state: &State<D>, closing: &Trigger) {
-    let stop = state.settings.stop.saturating_sub(BEFORE_KILL);
-    let ended = tokio::time::sleep(stop);
-    let idle = async {
-        tokio::time::sleep(LEAVING).await;
+    let stop = state.settings.stop.saturating_sub(KILL_MARGIN);
+    let timeout = tokio::time::sleep(stop);
+    let drained = async {
+        tokio::time::sleep(DRAIN_TIME).await;
         state.phase.set(Phase::Closing);
         closing.stop();
         while state.in_flight.get() > 0 {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
     };
     tokio::select! {
-        () = ended => log::warn!("event=stop-cut in_flight={}", state.in_flight.get()),
-        () = idle => {}
+        () = timeout => log::warn!("event=stop-cut in_flight={}", state.in_flight.get()),
+        () = drained => {}
     }
 }
 
@@ -149,8 +149,8 @@
 }
 
 async fn connection<D: Dialect>(state: Rc<State<D>>, stream: TcpStream, mut closing: Signal) {
-    let set_up = stream.set_nodelay(true).and_then(|()| pool::watch(&stream));
-    if set_up.is_err() {
+    let configured = stream.set_nodelay(true).and_then(|()| pool::watch(&stream));
+    if configured.is_err() {
         // The caller has already disconnected.
         return;
     }
@@ -158,16 +158,16 @@
         .table()
         .map(|table| table.document.limits)
         .unwrap_or_default();
-    let buffer = (limits.header_bytes as usize).clamp(LEAST_BUFFER, MOST_BUFFER);
+    let buffer = (limits.header_bytes as usize).clamp(MIN_BUFFER_BYTES, MAX_BUFFER_BYTES);
     let service = service_fn(move |request| {
         let state = state.clone();
         async move {
-            let mut answer = request::serve(state.clone(), request).await;
+            let mut response = request::serve(state.clone(), request).await;
             if state.phase.get() != Phase::Serving {
                 let close = HeaderValue::from_static("close");
-                answer.headers_mut().insert(CONNECTION, close);
+                response.headers_mut().insert(CONNECTION, close);
             }
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
     let mut builder = http1::Builder::new();
@@ -177,7 +177,7 @@
         .header_read_timeout(Duration::from_millis(limits.idle.0));
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    let _caller_gone = tokio::select! {
+    let _disconnected = tokio::select! {
         ended = connection.as_mut() => ended,
         () = closing.stopped() => {
             connection.as_mut().graceful_shutdown();
--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -59,23 +59,23 @@
         known.retain(|service, _| fleets.contains_key(service));
         for (service, fleet) in fleets {
             let layers = fleet.missing();
-            let before = known.get(service);
-            if before.map_or(layers.is_empty(), |gap| gap.layers == layers) {
+            let previous = known.get(service);
+            if previous.map_or(layers.is_empty(), |gap| gap.layers == layers) {
                 continue;
             }
-            let since = before.map_or(now, |gap| gap.since);
-            let lasts = now.since(since);
+            let since = previous.map_or(now, |gap| gap.since);
+            let duration = now.since(since);
             if layers.is_empty() {
-                log::info!("event=layers-whole service={service} after_ms={lasts}");
+                log::info!("event=layers-whole service={service} after_ms={duration}");
                 known.remove(service);
                 continue;
             }
-            if before.is_none() {
+            if previous.is_none() {
                 metrics.count("layer_gaps");
             }
             let missing: Vec<String> = layers.iter().map(Range::to_string).collect();
             log::warn!(
-                "event=layers-missing service={service} layers={} servers={} since_ms={lasts}",
+                "event=layers-missing service={service} layers={} servers={} since_ms={duration}",
                 missing.join(","),
                 fleet.nodes.len()
             );
--- a/crates/front/src/head.rs
+++ b/crates/front/src/head.rs
@@ -38,9 +38,9 @@
 
 /// Removes headers that only the entry may send to a backend server, so that callers cannot forge
 /// them.
-pub fn disown<D: Dialect>(headers: &mut HeaderMap) {
+pub fn remove_reserved<D: Dialect>(headers: &mut HeaderMap) {
     let names = D::NAMES;
-    let own = [
+    let reserved = [
         names.key,
         names.customer,
         names.expected_server,
@@ -51,7 +51,7 @@
         names.not_run,
         names.signature,
     ];
-    for name in own {
+    for name in reserved {
         headers.remove(name);
     }
 }
--- a/crates/front/src/metrics.rs
+++ b/crates/front/src/metrics.rs
@@ -9,13 +9,13 @@
 
 /// Upper bounds of the exported buckets in milliseconds: from a plain response (15 ms) past the
 /// latency targets (100, 150, 200 and 500 ms) to callers' timeouts.
-const BOUNDS_MS: [u64; 12] = [
+const BUCKET_BOUNDS_MS: [u64; 12] = [
     10, 25, 50, 100, 150, 200, 300, 500, 1_000, 2_000, 5_000, 20_000,
 ];
 /// The largest recorded latency in milliseconds, longer than any deadline.
-const LONGEST_MS: u64 = 60_000;
+const MAX_LATENCY_MS: u64 = 60_000;
 /// The precision of the histograms in significant decimal digits.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Counters and histograms of one entry.
 ///
@@ -45,7 +45,8 @@
             return;
         }
         // These bounds are valid, so the constructor succeeds.
-        if let Ok(mut histogram) = Histogram::new_with_bounds(1, LONGEST_MS, DIGITS) {
+        if let Ok(mut histogram) = Histogram::new_with_bounds(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS)
+        {
             histogram.saturating_record(span.0);
             histograms.insert(name, histogram);
         }
@@ -55,35 +56,35 @@
     pub fn text(&self, gauges: &[(&str, f64)]) -> String {
         let mut text = String::new();
         for (name, count) in self.counters.borrow().iter() {
-            line(&mut text, &format!("jujube_{name}_total {count}"));
+            push_line(&mut text, &format!("jujube_{name}_total {count}"));
         }
         for (name, value) in gauges {
-            line(&mut text, &format!("jujube_{name} {value}"));
+            push_line(&mut text, &format!("jujube_{name} {value}"));
         }
         for (name, histogram) in self.histograms.borrow().iter() {
-            for bound in BOUNDS_MS {
+            for bound in BUCKET_BOUNDS_MS {
                 let count = histogram.count_between(0, bound);
-                line(
+                push_line(
                     &mut text,
                     &format!("jujube_{name}_ms_bucket{{le=\"{bound}\"}} {count}"),
                 );
             }
             let (count, mean) = (histogram.len(), histogram.mean());
-            line(
+            push_line(
                 &mut text,
                 &format!("jujube_{name}_ms_bucket{{le=\"+Inf\"}} {count}"),
             );
-            line(
+            push_line(
                 &mut text,
                 &format!("jujube_{name}_ms_sum {:.0}", mean * count as f64),
             );
-            line(&mut text, &format!("jujube_{name}_ms_count {count}"));
+            push_line(&mut text, &format!("jujube_{name}_ms_count {count}"));
         }
         text
     }
 }
 
-fn line(text: &mut String, line: &str) {
+fn push_line(text: &mut String, line: &str) {
     // Writing to a string cannot fail.
     let _infallible = writeln!(text, "{line}");
 }
--- a/crates/front/src/ready.rs
+++ b/crates/front/src/ready.rs
@@ -15,7 +15,7 @@
 use crate::dialect::Dialect;
 use crate::state::State;
 
-const METRICS: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
 /// Serves one listener until the process ends.
 pub async fn serve<D: Dialect>(state: Rc<State<D>>, listener: TcpListener) {
@@ -31,16 +31,16 @@
 
 async fn connection<D: Dialect>(state: Rc<State<D>>, stream: TcpStream) {
     let service = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
-        let response = answer(&state, request.uri().path());
+        let response = respond(&state, request.uri().path());
         async move { Ok::<_, Infallible>(response) }
     });
-    let _asker_gone = http1::Builder::new()
+    let _disconnected = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-fn answer<D: Dialect>(state: &State<D>, path: &str) -> Response<Body<D>> {
-    if path == METRICS {
+fn respond<D: Dialect>(state: &State<D>, path: &str) -> Response<Body<D>> {
+    if path == METRICS_PATH {
         let gauges = [
             ("in_flight", state.in_flight.get() as f64),
             ("streams", state.streams.len() as f64),
--- a/crates/front/src/reload.rs
+++ b/crates/front/src/reload.rs
@@ -12,7 +12,7 @@
 use crate::state::State;
 
 /// How often the file is checked; it may change without a SIGHUP.
-const LOOK: Duration = Duration::from_secs(2);
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Applies changes until the process ends.
 ///
@@ -28,7 +28,9 @@
     let path = state.settings.file.clone();
     let mut known = std::fs::read(&path).unwrap_or_default();
     loop {
-        let told = tokio::time::timeout(LOOK, hangup.recv()).await.is_ok();
+        let is_signalled = tokio::time::timeout(CHECK_INTERVAL, hangup.recv())
+            .await
+            .is_ok();
         let text = match std::fs::read(&path) {
             Ok(text) => text,
             Err(error) => {
@@ -36,28 +38,28 @@
                 continue;
             }
         };
-        if !told && text == known {
+        if !is_signalled && text == known {
             continue;
         }
         known = text;
         match Settings::read(&path) {
-            Ok(settings) => take(&state, &settings, told),
+            Ok(settings) => apply(&state, &settings, is_signalled),
             Err(error) => {
                 let cause = format!("{error:#}").replace(['\n', ' '], "-");
-                log::warn!("event=reload outcome=refused told={told} cause={cause}");
+                log::warn!("event=reload outcome=refused told={is_signalled} cause={cause}");
             }
         }
     }
 }
 
-fn take<D>(state: &State<D>, settings: &Settings, told: bool) {
+fn apply<D>(state: &State<D>, settings: &Settings, is_signalled: bool) {
     let before = &state.settings;
-    let is_bound = settings.listen != before.listen
+    let needs_restart = settings.listen != before.listen
         || settings.ready != before.ready
         || settings.gossip != before.gossip
         || settings.store != before.store
         || settings.zone != before.zone;
-    let outcome = if is_bound {
+    let outcome = if needs_restart {
         "partly-after-restart"
     } else {
         "taken"
@@ -66,5 +68,5 @@
     if let Err(error) = logs::set_level(&settings.telemetry.level) {
         log::warn!("event=reload outcome=level-refused cause={error}");
     }
-    log::info!("event=reload outcome={outcome} told={told}");
+    log::info!("event=reload outcome={outcome} told={is_signalled}");
 }
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -163,7 +163,7 @@
         .clone();
     let mut headers = parts.headers;
     head::strip(&mut headers);
-    head::disown::<D>(&mut headers);
+    head::remove_reserved::<D>(&mut headers);
     if let Some(account) = &account {
         head::set(&mut headers, D::NAMES.customer, &account.customer.0);
     }
