--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -84,7 +84,7 @@
     tokio::task::spawn_local(ready::serve(state.clone(), readiness));
     tokio::task::spawn_local(ready::serve(state.clone(), metrics));
     tokio::task::spawn_local(follow::run(state.clone(), store.clone()));
-    tokio::task::spawn_local(follow::tidy(state.clone()));
+    tokio::task::spawn_local(follow::expire(state.clone()));
     tokio::task::spawn_local(planner::run(state.clone(), store.clone()));
     tokio::task::spawn_local(gossip::announce(state.clone(), store.clone()));
     tokio::task::spawn_local(slack::run(state.clone(), store));
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -35,36 +35,36 @@
 /// The longest pause of the planner between an answer with changes and the next call. It must be
 /// shorter than the 0.7 s after which the planner considers the registrations complete, or servers
 /// would be placed before all of them are known.
-pub const GATHER_PLANNER: Span = Span(500);
+pub const MAX_PLANNER_PAUSE: Span = Span(500);
 /// The prefix of the keys that entries write.
-const OWN: &str = "jujube/";
+const ENTRY_KEYS: &str = "jujube/";
 /// The empty prefix: one watch covers the configuration, the registrations and the planner's lease.
-const ALL: &str = "";
+const ALL_KEYS: &str = "";
 /// How much shorter one call waits than the time without faults after which the time limits apply.
 ///
 /// A watch that began while the store delivered no changes may hear nothing for its whole wait
 /// although all other calls succeed. The next call must be answered before the time limits apply
 /// again. A store that becomes silent altogether is detected by the renewals of this entry's lease.
-const EARLIER: Span = Span(1_000);
+const WAIT_MARGIN: Span = Span(1_000);
 /// The shortest wait of one call.
-const LEAST_WAIT: Span = Span(500);
+const MIN_WAIT: Span = Span(500);
 /// The wait of one call after the connection to the store was lost, short so that the recovery is
 /// noticed even if nothing changes.
-const WAIT_LOST: Span = Span(300);
+const WAIT_AFTER_LOSS: Span = Span(300);
 /// The share of the time limit that passes between an answer with changes and the next call.
 /// Changes come in bursts, and every entry pays for each call.
-const GATHER_SHARE: u64 = 4;
+const PAUSE_DIVISOR: u64 = 4;
 /// The part of the time limit reserved for the next call after an answer that contained only keys
 /// of entries. Such changes may wait longer than a configuration. A slow store answers within a
 /// third of a second, and decoding a large snapshot takes as long on the smallest VMs.
-const LEFT: Span = Span(1_500);
+const CALL_RESERVE: Span = Span(1_500);
 /// The range of the random pause before a failed call is repeated, which keeps the entries from
 /// calling in step.
-const PAUSE_MS: std::ops::Range<u64> = 100..300;
+const RETRY_PAUSE_MS: std::ops::Range<u64> = 100..300;
 
 /// The range of the random pause between two calls for the first snapshot, in milliseconds; a slow
 /// store answers within it.
-const FIRST_PAUSE_MS: std::ops::Range<u64> = 300..400;
+const FIRST_CALL_PAUSE_MS: std::ops::Range<u64> = 300..400;
 
 /// Watches the store until the process ends.
 pub async fn run<D: Dialect, F: Feed>(state: Rc<State<D>>, store: F) {
@@ -77,11 +77,15 @@
             // are absent from a new snapshot.
             after = None;
         }
-        let wait = if is_lost { WAIT_LOST } else { wait(&state) };
+        let wait = if is_lost {
+            WAIT_AFTER_LOSS
+        } else {
+            wait_time(&state)
+        };
         let step = async {
             match after {
-                None => read(&state, &store).await,
-                Some(revision) => follow(&state, &store, revision, wait).await,
+                None => read_snapshot(&state, &store).await,
+                Some(revision) => watch(&state, &store, revision, wait).await,
             }
         };
         let step = tokio::select! {
@@ -89,11 +93,13 @@
             () = state.store_doubted.notified() => Err(Error::Unknown("lease-not-renewed".into())),
             () = store.risen(era) => Ok(None),
         };
-        let (before, now) = (era, store.era());
-        era = now;
-        if let Some(risen) = now.filter(|now| before.is_some_and(|before| *now > before)) {
+        let (previous, current) = (era, store.era());
+        era = current;
+        if let Some(later) =
+            current.filter(|current| previous.is_some_and(|previous| *current > previous))
+        {
             // The result of this step may mix the state of both eras.
-            restore::take(&state, risen);
+            restore::take(&state, later);
             after = None;
             continue;
         }
@@ -117,7 +123,7 @@
                         error.to_string().replace(' ', "-")
                     );
                 }
-                let pause = rand::random_range(PAUSE_MS);
+                let pause = rand::random_range(RETRY_PAUSE_MS);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
         }
@@ -125,9 +131,9 @@
 }
 
 /// Returns how long one call waits for changes.
-fn wait<D>(state: &State<D>) -> Span {
+fn wait_time<D>(state: &State<D>) -> Span {
     let contact = state.settings.fresh.contact;
-    Span(contact.0.saturating_sub(EARLIER.0)).max(LEAST_WAIT)
+    Span(contact.0.saturating_sub(WAIT_MARGIN.0)).max(MIN_WAIT)
 }
 
 /// Reads the first snapshot, however long the store takes.
@@ -143,8 +149,8 @@
     let mut is_lost = false;
     loop {
         state.metrics.count("store_reads");
-        calls.push(store.snapshot(ALL));
-        let pause = rand::random_range(FIRST_PAUSE_MS);
+        calls.push(store.snapshot(ALL_KEYS));
+        let pause = rand::random_range(FIRST_CALL_PAUSE_MS);
         let mut pause = pin!(tokio::time::sleep(Duration::from_millis(pause)).fuse());
         loop {
             let answer = futures::select! {
@@ -171,10 +177,13 @@
 }
 
 /// Reads a snapshot of the store; returns the revision to watch from.
-async fn read<D: Dialect, F: Feed>(state: &State<D>, store: &F) -> Result<Option<Revision>, Error> {
+async fn read_snapshot<D: Dialect, F: Feed>(
+    state: &State<D>,
+    store: &F,
+) -> Result<Option<Revision>, Error> {
     let (changes, revision) = if state.registered.get() {
         state.metrics.count("store_reads");
-        store.snapshot(ALL).await?
+        store.snapshot(ALL_KEYS).await?
     } else {
         first_snapshot(state, store).await
     };
@@ -201,7 +210,7 @@
         }
         is_held |= change.key == orders::HOLDER;
         match D::record(&change.key, change.value.as_ref()) {
-            Record::Configuration(document) => take(state, document),
+            Record::Configuration(document) => apply_configuration(state, document),
             Record::Server(server) => servers.push(server),
             Record::UnreadableServer(server, error) => {
                 state.malformed.log(change, &error);
@@ -226,7 +235,7 @@
     reserve.replaced(&pieces, revision);
     drop(reserve);
     let own = entries.get(&state.settings.name);
-    check_own(state, own, revision);
+    check_own_announcement(state, own, revision);
     let places = entries.into_iter().map(|(name, read)| (name, read.place));
     state.peers.directory.borrow_mut().replaced(places);
     rebuild(state);
@@ -234,14 +243,14 @@
 }
 
 /// Waits for changes; returns the revision to continue from, or `None` if a snapshot is needed.
-async fn follow<D: Dialect, F: Feed>(
+async fn watch<D: Dialect, F: Feed>(
     state: &State<D>,
     store: &F,
     after: Revision,
     wait: Span,
 ) -> Result<Option<Revision>, Error> {
     state.metrics.count("store_watches");
-    let (changes, revision) = match store.follow(ALL, after, wait).await? {
+    let (changes, revision) = match store.follow(ALL_KEYS, after, wait).await? {
         News::Forgotten => {
             log::info!("event=history-lost revision={after}");
             return Ok(None);
@@ -255,10 +264,10 @@
         if change.key == orders::HOLDER {
             state.leadership.heard(change.value.is_some());
         }
-        take_announcement(state, change);
-        take_piece(state, change);
+        apply_announcement(state, change);
+        apply_piece(state, change);
         restore::take_mark(state, change);
-        is_changed |= apply(state, change) != Effect::None;
+        is_changed |= apply_change(state, change) != Effect::None;
     }
     restore::allow_pieces(state);
     state.retries.reserve.borrow_mut().followed(revision);
@@ -266,35 +275,35 @@
         rebuild(state);
     }
     if !changes.is_empty() {
-        let pause = gather(state, &changes);
+        let pause = pause_after(state, &changes);
         tokio::time::sleep(Duration::from_millis(pause.0)).await;
     }
     Ok(Some(revision))
 }
 
 /// Returns the pause after an answer with changes, in which further changes accumulate.
-fn gather<D>(state: &State<D>, changes: &[Change]) -> Span {
-    let is_own = |change: &Change| change.key.starts_with(OWN);
+fn pause_after<D>(state: &State<D>, changes: &[Change]) -> Span {
+    let is_of_entry = |change: &Change| change.key.starts_with(ENTRY_KEYS);
     let apply = state.settings.fresh.apply;
-    let gather = Span(apply.0 / GATHER_SHARE);
-    let pause = match changes.iter().all(is_own) {
-        true => gather.max(Span(apply.0.saturating_sub(LEFT.0))),
-        false => gather,
+    let usual = Span(apply.0 / PAUSE_DIVISOR);
+    let pause = match changes.iter().all(is_of_entry) {
+        true => usual.max(Span(apply.0.saturating_sub(CALL_RESERVE.0))),
+        false => usual,
     };
     match state.leadership.own() {
-        Some(_) => pause.min(GATHER_PLANNER),
+        Some(_) => pause.min(MAX_PLANNER_PAUSE),
         None => pause,
     }
 }
 
 /// Records the address of another entry if the change is an announcement.
-fn take_announcement<D>(state: &State<D>, change: &Change) {
+fn apply_announcement<D>(state: &State<D>, change: &Change) {
     let Some(entry) = gossip::announced(&change.key) else {
         return;
     };
     let announcement = change.value.as_ref().and_then(gossip::Announcement::read);
     if *entry == *state.settings.name {
-        check_own(state, announcement.as_ref(), change.revision);
+        check_own_announcement(state, announcement.as_ref(), change.revision);
         return;
     }
     let mut directory = state.peers.directory.borrow_mut();
@@ -310,20 +319,24 @@
 /// A delayed write under an earlier lease can replace the announcement and remove it when that
 /// lease expires, and entries that start later would not find this one. Revisions up to that of
 /// this entry's own write say nothing about it.
-fn check_own<D>(state: &State<D>, announcement: Option<&gossip::Announcement>, told: Revision) {
-    if told <= state.retries.announced.get() {
+fn check_own_announcement<D>(
+    state: &State<D>,
+    announcement: Option<&gossip::Announcement>,
+    revision: Revision,
+) {
+    if revision <= state.retries.announced.get() {
         return;
     }
     let mut reserve = state.retries.reserve.borrow_mut();
-    let stands = announcement.map(|announcement| announcement.tenure);
-    if reserve.tenure().is_some() && reserve.tenure() != stands {
-        log::info!("event=announcement-overtaken by={stands:?}");
+    let tenure = announcement.map(|announcement| announcement.tenure);
+    if reserve.tenure().is_some() && reserve.tenure() != tenure {
+        log::info!("event=announcement-overtaken by={tenure:?}");
         reserve.lost();
     }
 }
 
 /// Records the holder of a piece of the retry slack if the change is about one.
-fn take_piece<D>(state: &State<D>, change: &Change) {
+fn apply_piece<D>(state: &State<D>, change: &Change) {
     let Some((service, piece)) = slack::piece(&change.key) else {
         return;
     };
@@ -336,13 +349,13 @@
 }
 
 /// Applies one change; returns its effect on the registrations.
-fn apply<D: Dialect>(state: &State<D>, change: &Change) -> Effect {
+fn apply_change<D: Dialect>(state: &State<D>, change: &Change) -> Effect {
     let now = clock::now();
     let mut roster = state.roster.borrow_mut();
     let (name, effect) = match D::record(&change.key, change.value.as_ref()) {
         Record::Configuration(document) => {
             drop(roster);
-            take(state, document);
+            apply_configuration(state, document);
             return Effect::None;
         }
         Record::Server(server) => {
@@ -383,7 +396,7 @@
 
 /// The maximum number of remembered keys, so that a writer of ever new keys cannot exhaust the
 /// memory.
-const MOST_MALFORMED: usize = 1_000;
+const MAX_MALFORMED_KEYS: usize = 1_000;
 
 impl Malformed {
     fn log(&self, change: &Change, error: &anyhow::Error) {
@@ -391,7 +404,7 @@
         if logged.get(&change.key) == Some(&change.revision) {
             return;
         }
-        if logged.len() >= MOST_MALFORMED {
+        if logged.len() >= MAX_MALFORMED_KEYS {
             logged.clear();
         }
         logged.insert(change.key.clone(), change.revision);
@@ -408,7 +421,7 @@
 ///
 /// A snapshot may be older than changes already watched; applying it would route by a superseded
 /// configuration.
-fn take<D: Dialect>(state: &State<D>, document: Document) {
+fn apply_configuration<D: Dialect>(state: &State<D>, document: Document) {
     let version = document.version;
     let known = state.table().map(|table| table.document.version);
     if known.is_some_and(|known| known >= version) {
@@ -427,7 +440,7 @@
 
 /// Applies the layers that a server reports while the store, the usual source, is unavailable, and
 /// shares them with the other entries.
-pub fn take_held<D>(state: &State<D>, server: &Incarnation, held: Range) {
+pub fn apply_reported_layers<D>(state: &State<D>, server: &Incarnation, held: Range) {
     let mut roster = state.roster.borrow_mut();
     let effect = roster.reported(clock::now(), server, held);
     drop(roster);
@@ -461,10 +474,10 @@
     state.load.borrow_mut().backlog.retain(is_known);
     state.outliers.borrow_mut().retain(is_known);
     drop(roster);
-    for earlier in state.roster.borrow_mut().take_replaced() {
+    for replaced in state.roster.borrow_mut().take_replaced() {
         // Streams through the old incarnation switch paths at once instead of waiting for a
         // timeout.
-        state.accuse(&earlier, "restarted");
+        state.accuse(&replaced, "restarted");
     }
     state.roster_changed.notify_waiters();
 }
@@ -472,17 +485,17 @@
 /// How often expired registrations and idle connections are removed. The grace period ends two
 /// seconds after the store's recovery, and a server that is missing then must get no requests a
 /// second later.
-const TIDY: Duration = Duration::from_millis(100);
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Removes expired registrations and idle connections until the process ends.
-pub async fn tidy<D: Dialect>(state: Rc<State<D>>) {
+pub async fn expire<D: Dialect>(state: Rc<State<D>>) {
     loop {
-        tokio::time::sleep(TIDY).await;
-        let gone = state.roster.borrow_mut().expire(clock::now());
-        for server in &gone {
+        tokio::time::sleep(EXPIRE_INTERVAL).await;
+        let expired = state.roster.borrow_mut().expire(clock::now());
+        for server in &expired {
             log::info!("event=registration server={server} effect=GraceOver");
         }
-        if !gone.is_empty() {
+        if !expired.is_empty() {
             rebuild(&state);
         }
         let roster = state.roster.borrow();
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -36,7 +36,7 @@
 /// placed, so that all of them are known.
 const SETTLED: Span = Span(700);
 const _: () = assert!(
-    SETTLED.0 > follow::GATHER_PLANNER.0,
+    SETTLED.0 > follow::MAX_PLANNER_PAUSE.0,
     "registrations are not quiet between two looks at them"
 );
 /// How long a server that joined empty waits for the drain of the server that it replaces, which
@@ -216,7 +216,7 @@
             for (server, address) in self.doubtful() {
                 if let Ok(report) = probe::report(&self.state, &server, address).await {
                     if let Some(held) = report.held {
-                        follow::take_held(&self.state, &server, held);
+                        follow::apply_reported_layers(&self.state, &server, held);
                     }
                     let mut load = self.state.load.borrow_mut();
                     load.asked(clock::now(), &server, report.slowness);
--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -108,7 +108,7 @@
 /// get neither layers nor work until the store is back.
 fn learn_restart<D: Dialect>(state: &State<D>, earlier: &Incarnation, report: &Report) {
     let later = Incarnation::new(earlier.server.clone(), report.born);
-    follow::take_held(state, &later, report.held.unwrap_or_default());
+    follow::apply_reported_layers(state, &later, report.held.unwrap_or_default());
 }
 
 async fn ask<D: Dialect>(
