--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -99,7 +99,7 @@
             current.filter(|current| previous.is_some_and(|previous| *current > previous))
         {
             // The result of this step may mix the state of both eras.
-            restore::take(&state, later);
+            restore::handle_restore(&state, later);
             after = None;
             continue;
         }
@@ -193,8 +193,8 @@
     if state.roster.borrow().is_to_be_read(clock::now()) {
         state.roster.borrow_mut().read_again();
     }
-    restore::take_all(state, store.era(), &changes);
-    restore::mark(state, store, restore::shows_earlier(&changes)).await;
+    restore::apply_snapshot(state, store.era(), &changes);
+    restore::mark_era(state, store, restore::shows_earlier_era(&changes)).await;
     let mut servers = Vec::new();
     let mut unreadable = Vec::new();
     let mut is_held = false;
@@ -205,7 +205,9 @@
             let announcement = gossip::Announcement::read(value);
             entries.extend(announcement.map(|read| (Arc::from(entry), read)));
         }
-        if let (Some(piece), Some(record)) = (slack::piece(&change.key), slack::record(change)) {
+        if let (Some(piece), Some(record)) =
+            (slack::parse_key(&change.key), slack::parse_record(change))
+        {
             pieces.insert(piece, record);
         }
         is_held |= change.key == orders::HOLDER;
@@ -266,10 +268,10 @@
         }
         apply_announcement(state, change);
         apply_piece(state, change);
-        restore::take_mark(state, change);
+        restore::apply_mark(state, change);
         is_changed |= apply_change(state, change) != Effect::None;
     }
-    restore::allow_pieces(state);
+    restore::update_settling(state);
     state.retries.reserve.borrow_mut().followed(revision);
     if is_changed {
         rebuild(state);
@@ -337,11 +339,11 @@
 
 /// Records the holder of a piece of the retry slack if the change is about one.
 fn apply_piece<D>(state: &State<D>, change: &Change) {
-    let Some((service, piece)) = slack::piece(&change.key) else {
+    let Some((service, piece)) = slack::parse_key(&change.key) else {
         return;
     };
     let mut reserve = state.retries.reserve.borrow_mut();
-    match slack::record(change) {
+    match slack::parse_record(change) {
         Some(record) => reserve.written(&service, piece, record),
         None => reserve.removed(&service, piece, change.revision),
     }
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -94,7 +94,7 @@
         Ok(admitted) => admitted,
         Err(reason) => return refuse(&state, &id, reason, arrived),
     };
-    state.retries.request(&admitted.service);
+    state.retries.record_request(&admitted.service);
     let is_model = state
         .table()
         .is_some_and(|table| table.engine(&admitted.service).is_some());
--- a/crates/front/src/restore.rs
+++ b/crates/front/src/restore.rs
@@ -12,13 +12,13 @@
 use crate::state::State;
 
 /// The prefix of the keys that mark eras; the era's number follows.
-const ERAS: &str = "jujube/era/";
+const ERA_PREFIX: &str = "jujube/era/";
 /// The suffix of the key that accompanies a mark while pieces held in an earlier era may still be
 /// in use.
-const SETTLING: &str = "/settling";
+const SETTLING_SUFFIX: &str = "/settling";
 
 fn mark_key(era: Era) -> String {
-    format!("{ERAS}{era}")
+    format!("{ERA_PREFIX}{era}")
 }
 
 /// Handles a restore of the store, which starts a later era.
@@ -26,7 +26,7 @@
 /// The configuration in force stays, since an older version is never applied. Registrations are
 /// kept until they have been read again. Leases and pieces of the retry slack are dropped, because
 /// the store may have lost them.
-pub fn take<D>(state: &State<D>, era: Era) {
+pub fn handle_restore<D>(state: &State<D>, era: Era) {
     let pieces = state.retries.pieces();
     state.roster.borrow_mut().restored(clock::now());
     state.retries.reserve.borrow_mut().restored();
@@ -41,11 +41,11 @@
 }
 
 /// Records whether an era is marked and settling, if a change says so.
-pub fn take_mark<D>(state: &State<D>, change: &Change) {
-    let Some(rest) = change.key.strip_prefix(ERAS) else {
+pub fn apply_mark<D>(state: &State<D>, change: &Change) {
+    let Some(rest) = change.key.strip_prefix(ERA_PREFIX) else {
         return;
     };
-    let (number, is_settling) = match rest.strip_suffix(SETTLING) {
+    let (number, is_settling) = match rest.strip_suffix(SETTLING_SUFFIX) {
         Some(number) => (number, true),
         None => (rest, false),
     };
@@ -53,16 +53,16 @@
         return;
     };
     let mut settling = state.settling.get();
-    let stands = change.value.is_some();
+    let exists = change.value.is_some();
     match is_settling {
-        true => settling.set_held(era, stands),
-        false => settling.set_marked(era, stands),
+        true => settling.set_held(era, exists),
+        false => settling.set_marked(era, exists),
     }
     state.settling.set(settling);
 }
 
 /// Records the era of a snapshot and its marks.
-pub fn take_all<D>(state: &State<D>, era: Option<Era>, changes: &[Change]) {
+pub fn apply_snapshot<D>(state: &State<D>, era: Option<Era>, changes: &[Change]) {
     let mut settling = state.settling.get();
     settling.set_era(era);
     if let Some(era) = era {
@@ -71,22 +71,23 @@
     }
     state.settling.set(settling);
     for change in changes {
-        take_mark(state, change);
+        apply_mark(state, change);
     }
-    allow_pieces(state);
+    update_settling(state);
 }
 
 /// Allows or forbids the use of pieces according to the current era.
-pub fn allow_pieces<D>(state: &State<D>) {
+pub fn update_settling<D>(state: &State<D>) {
     let is_settling = !state.settling.get().is_over();
     let mut reserve = state.retries.reserve.borrow_mut();
     reserve.set_settling(is_settling);
 }
 
 /// Returns whether a snapshot contains a mark of an era or a held piece.
-pub fn shows_earlier(changes: &[Change]) -> bool {
-    let is_earlier =
-        |change: &Change| change.key.starts_with(ERAS) || slack::piece(&change.key).is_some();
+pub fn shows_earlier_era(changes: &[Change]) -> bool {
+    let is_earlier = |change: &Change| {
+        change.key.starts_with(ERA_PREFIX) || slack::parse_key(&change.key).is_some()
+    };
     changes.iter().any(is_earlier)
 }
 
@@ -94,7 +95,7 @@
 /// contained traces of an earlier era.
 ///
 /// Pieces are acquired only once a mark exists, so a store with neither has never had pieces held.
-pub async fn mark<D, F: Feed>(state: &State<D>, store: &F, shows_earlier: bool) {
+pub async fn mark_era<D, F: Feed>(state: &State<D>, store: &F, shows_earlier: bool) {
     let Some(era) = store.era().filter(|_| state.settling.get().lacks_mark()) else {
         return;
     };
@@ -111,22 +112,22 @@
     if state.settling.get().had_before(shows_earlier) {
         let lease = match store.grant(state.retries.lease).await {
             Ok(lease) => lease,
-            Err(error) => return failed(era, &error.to_string()),
+            Err(error) => return log_failure(era, &error.to_string()),
         };
         writes.push(Write::Put {
-            key: format!("{key}{SETTLING}"),
+            key: format!("{key}{SETTLING_SUFFIX}"),
             value: state.settings.name.to_string(),
             lease: Some(lease),
         });
     }
     match store.swap(&conditions, &writes).await {
-        Ok(is_mine) => log::info!("event=era-marked era={era} is_mine={is_mine}"),
-        Err(error) => failed(era, &error.to_string()),
+        Ok(is_own) => log::info!("event=era-marked era={era} is_mine={is_own}"),
+        Err(error) => log_failure(era, &error.to_string()),
     }
 }
 
 /// Logs the failure. The slack task marks the era later; until then no pieces are used.
-fn failed(era: Era, cause: &str) {
+fn log_failure(era: Era, cause: &str) {
     let cause = cause.replace(' ', "-");
     log::info!("event=era-not-marked era={era} cause={cause}");
 }
--- a/crates/front/src/retries.rs
+++ b/crates/front/src/retries.rs
@@ -20,16 +20,16 @@
 
 /// How long a retry may be reserved before it is sent. It counts from the reservation, so an older
 /// one must be acquired again.
-const FRESH: Span = Span(500);
+const MAX_RESERVATION: Span = Span(500);
 
 /// How long an entry uses its pieces of the slack while the store does not renew its lease. Most
 /// outages are shorter than ten seconds; a longer time would also keep the pieces of dead entries
 /// held for longer.
-const TRUSTED: Span = Span(15_000);
+const TRUST_WITHOUT_RENEWAL: Span = Span(15_000);
 
 /// How often waiting requests are checked for an available retry; incoming requests pay for one
 /// every few hundred milliseconds.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 type Allowances = Rc<RefCell<BTreeMap<Service, Allowance>>>;
 
@@ -68,7 +68,7 @@
 impl Retries {
     /// Creates the retry budget of an entry that has sent no retries.
     pub fn new(terms: Terms) -> Self {
-        let lease = Span(TRUSTED.0 + terms.reach().0);
+        let lease = Span(TRUST_WITHOUT_RENEWAL.0 + terms.reach().0);
         Self {
             lease,
             terms: Cell::new(terms),
@@ -94,7 +94,7 @@
     }
 
     /// Records a request to a service.
-    pub fn request(&self, service: &Service) {
+    pub fn record_request(&self, service: &Service) {
         let mut allowances = self.allowances.borrow_mut();
         let allowance = allowances.entry(service.clone()).or_default();
         allowance.request(clock::now(), &self.terms.get());
@@ -113,8 +113,8 @@
     }
 
     /// Acquires a retry if one is available; otherwise records the need for one.
-    pub fn take(&self, service: &Service) -> (Option<Retry>, Decision) {
-        let (retry, decision) = self.try_take(service);
+    pub fn acquire(&self, service: &Service) -> (Option<Retry>, Decision) {
+        let (retry, decision) = self.try_acquire(service);
         if retry.is_none() {
             *self.denied.borrow_mut().entry(service.clone()).or_default() += 1;
             self.needed.notify_one();
@@ -122,7 +122,7 @@
         (retry, decision)
     }
 
-    fn try_take(&self, service: &Service) -> (Option<Retry>, Decision) {
+    fn try_acquire(&self, service: &Service) -> (Option<Retry>, Decision) {
         let now = clock::now();
         let terms = self.terms.get();
         let reserve = self.reserve.borrow();
@@ -135,7 +135,7 @@
             Retry {
                 allowances: self.allowances.clone(),
                 service: service.clone(),
-                taken: now,
+                acquired_at: now,
                 is_sent: false,
             }
         });
@@ -149,20 +149,20 @@
 
     /// Returns how many retries of a service are needed: the larger of those waited for and those
     /// denied since the last call.
-    pub fn take_needed(&self, service: &Service) -> u64 {
+    pub fn take_demand(&self, service: &Service) -> u64 {
         let denied = self.denied.borrow_mut().remove(service).unwrap_or(0);
         let waiting = self.waiting.borrow();
-        let awaited = waiting.get(service).map_or(0, VecDeque::len) as u64;
-        denied.max(awaited)
+        let waiting_count = waiting.get(service).map_or(0, VecDeque::len) as u64;
+        denied.max(waiting_count)
     }
 
     /// Returns whether requests wait for retries.
-    pub fn is_awaited(&self) -> bool {
+    pub fn has_waiters(&self) -> bool {
         !self.waiting.borrow().is_empty()
     }
 
     /// Returns whether requests and `kept` retries of the slack cover all retries in the window.
-    pub fn can_spare(&self, service: &Service, kept: f64) -> bool {
+    pub fn can_return(&self, service: &Service, kept: f64) -> bool {
         let mut allowances = self.allowances.borrow_mut();
         let Some(allowance) = allowances.get_mut(service) else {
             return true;
@@ -186,28 +186,28 @@
 
     /// Hands available retries to waiting requests in order of arrival; returns whether any still
     /// wait.
-    fn serve(&self) -> bool {
+    fn serve_waiters(&self) -> bool {
         let mut waiting = self.waiting.borrow_mut();
-        for (service, line) in &mut *waiting {
-            line.retain(|waiter| !waiter.is_closed());
-            while !line.is_empty() {
-                let (Some(retry), _) = self.try_take(service) else {
+        for (service, queue) in &mut *waiting {
+            queue.retain(|waiter| !waiter.is_closed());
+            while !queue.is_empty() {
+                let (Some(retry), _) = self.try_acquire(service) else {
                     break;
                 };
                 // If the waiter has given up meanwhile, dropping the retry releases it.
-                let _unused = line.pop_front().map(|waiter| waiter.send(retry));
+                let _unused = queue.pop_front().map(|waiter| waiter.send(retry));
             }
         }
-        waiting.retain(|_, line| !line.is_empty());
+        waiting.retain(|_, queue| !queue.is_empty());
         !waiting.is_empty()
     }
 
     /// Hands retries to waiting requests until the process ends.
     pub async fn run(&self) {
         loop {
-            let is_awaited = self.serve();
-            if is_awaited {
-                tokio::time::sleep(LOOK).await;
+            let is_waiting = self.serve_waiters();
+            if is_waiting {
+                tokio::time::sleep(CHECK_INTERVAL).await;
             } else {
                 self.changed.notified().await;
             }
@@ -223,14 +223,14 @@
 pub struct Retry {
     allowances: Allowances,
     service: Service,
-    taken: Instant,
+    acquired_at: Instant,
     is_sent: bool,
 }
 
 impl Retry {
     /// Returns whether it may still be sent.
-    pub fn is_fresh(&self) -> bool {
-        clock::now().since(self.taken) <= FRESH
+    pub fn is_valid(&self) -> bool {
+        clock::now().since(self.acquired_at) <= MAX_RESERVATION
     }
 
     /// Records whether it has been sent; a failed send can undo this.
@@ -246,7 +246,7 @@
         }
         let mut allowances = self.allowances.borrow_mut();
         if let Some(allowance) = allowances.get_mut(&self.service) {
-            allowance.give_back(self.taken);
+            allowance.give_back(self.acquired_at);
         }
     }
 }
--- a/crates/front/src/slack.rs
+++ b/crates/front/src/slack.rs
@@ -20,31 +20,31 @@
 use crate::state::State;
 
 /// The prefix of the keys of pieces; the service and the piece's number follow.
-const PIECES: &str = "jujube/slack/";
+const KEY_PREFIX: &str = "jujube/slack/";
 /// The most pieces per transaction, which takes 32 rows: each piece needs a condition and a write.
-const MOST_AT_ONCE: usize = 12;
+const MAX_PIECES_PER_CALL: usize = 12;
 /// How often pieces are checked when nothing asks for any.
-const LOOK: Duration = Duration::from_millis(2_000);
+const CHECK_INTERVAL: Duration = Duration::from_millis(2_000);
 /// How often pieces are checked while requests wait for retries: other entries may have won the
 /// requested pieces or returned some.
-const LOOK_AWAITED: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL_WAITING: Duration = Duration::from_millis(200);
 /// The pause between two acquisitions, several times the store's usual response time: demand that
 /// arrives meanwhile is served by one call.
-const AGAIN: Duration = Duration::from_millis(40);
+const ACQUIRE_PAUSE: Duration = Duration::from_millis(40);
 
 /// Returns the service and the piece that a key belongs to.
-pub fn piece(key: &str) -> Option<(Service, Piece)> {
-    let (service, piece) = key.strip_prefix(PIECES)?.rsplit_once('/')?;
+pub fn parse_key(key: &str) -> Option<(Service, Piece)> {
+    let (service, piece) = key.strip_prefix(KEY_PREFIX)?.rsplit_once('/')?;
     Some((service.into(), piece.parse().ok()?))
 }
 
 fn key(service: &Service, piece: Piece) -> String {
-    format!("{PIECES}{service}/{piece}")
+    format!("{KEY_PREFIX}{service}/{piece}")
 }
 
 /// Returns the holder of a piece. A value that cannot be parsed counts as held by another writer,
 /// so that the piece is not free.
-pub fn record(change: &Change) -> Option<Record> {
+pub fn parse_record(change: &Change) -> Option<Record> {
     let value = change.value.as_ref()?;
     let tenure = match value {
         Value::Text(text) => text.parse().unwrap_or_default(),
@@ -58,27 +58,31 @@
 pub async fn run<D, F: Feed>(state: Rc<State<D>>, store: F) {
     loop {
         let needed = state.retries.needed.notified();
-        let is_awaited = state.retries.is_awaited();
-        let pause = if is_awaited { LOOK_AWAITED } else { LOOK };
-        let is_told = tokio::time::timeout(pause, needed).await.is_ok();
-        let is_idle = !is_told && !is_awaited;
+        let has_waiters = state.retries.has_waiters();
+        let pause = if has_waiters {
+            CHECK_INTERVAL_WAITING
+        } else {
+            CHECK_INTERVAL
+        };
+        let is_requested = tokio::time::timeout(pause, needed).await.is_ok();
+        let is_idle = !is_requested && !has_waiters;
         // The mark may have failed before; the first snapshot is not kept, so assume an earlier
         // era.
-        restore::mark(&state, &store, true).await;
+        restore::mark_era(&state, &store, true).await;
         for service in state.retries.services() {
-            if !take(&state, &store, &service).await && is_idle {
-                give_back(&state, &store, &service).await;
+            if !acquire(&state, &store, &service).await && is_idle {
+                return_surplus(&state, &store, &service).await;
             }
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(ACQUIRE_PAUSE).await;
     }
 }
 
 /// Returns how many more pieces of a service are needed.
-fn lack<D>(state: &State<D>, service: &Service) -> usize {
+fn shortfall<D>(state: &State<D>, service: &Service) -> usize {
     let entries = state.peers.count();
     let held = state.retries.reserve.borrow().held(service);
-    let needed = state.retries.take_needed(service) as f64;
+    let needed = state.retries.take_demand(service) as f64;
     let worth = reserve::worth(state.retries.terms().slack);
     let needed = if worth > 0.0 {
         (needed / worth).ceil() as u64
@@ -91,15 +95,16 @@
 }
 
 /// Acquires the pieces that are needed; returns whether any were requested.
-async fn take<D, F: Feed>(state: &State<D>, store: &F, service: &Service) -> bool {
-    let lack = lack(state, service).min(MOST_AT_ONCE);
+async fn acquire<D, F: Feed>(state: &State<D>, store: &F, service: &Service) -> bool {
+    let shortfall = shortfall(state, service).min(MAX_PIECES_PER_CALL);
     let tenure = state.retries.reserve.borrow().tenure();
     let is_marked = !state.settling.get().lacks_mark();
-    let Some(tenure) = tenure.filter(|_| lack > 0 && is_marked && !state.is_store_away()) else {
+    let Some(tenure) = tenure.filter(|_| shortfall > 0 && is_marked && !state.is_store_away())
+    else {
         return false;
     };
     let mut free = state.retries.reserve.borrow().free(service);
-    let count = lack.min(free.len());
+    let count = shortfall.min(free.len());
     if count == 0 {
         return false;
     }
@@ -137,8 +142,8 @@
 ///
 /// Every change in the store is sent to every entry, so pieces aren't returned only to be acquired
 /// again for the next retry.
-async fn give_back<D, F: Feed>(state: &State<D>, store: &F, service: &Service) {
-    let pieces = spare(state, service);
+async fn return_surplus<D, F: Feed>(state: &State<D>, store: &F, service: &Service) {
+    let pieces = take_surplus(state, service);
     if pieces.is_empty() {
         return;
     }
@@ -157,14 +162,14 @@
 }
 
 /// Removes the pieces to return from use.
-fn spare<D>(state: &State<D>, service: &Service) -> Vec<(Piece, Revision)> {
+fn take_surplus<D>(state: &State<D>, service: &Service) -> Vec<(Piece, Revision)> {
     let rest = reserve::at_rest(state.peers.count());
     let kept = reserve::worth(state.retries.terms().slack) * rest as f64;
     let mut reserve = state.retries.reserve.borrow_mut();
     let is_needed = reserve.free(service).len() < reserve::FEW;
     let is_over = reserve.held(service) > rest;
-    if !is_needed || !is_over || !state.retries.can_spare(service, kept) {
+    if !is_needed || !is_over || !state.retries.can_return(service, kept) {
         return Vec::new();
     }
-    reserve.give_back(service, rest, MOST_AT_ONCE)
+    reserve.give_back(service, rest, MAX_PIECES_PER_CALL)
 }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -164,7 +164,7 @@
 
     /// Acquires a retry for a request; `None` if the retry budget is exhausted.
     pub fn take_retry(&self, service: &Service, request: &str) -> Option<Retry> {
-        let (retry, decision) = self.retries.take(service);
+        let (retry, decision) = self.retries.acquire(service);
         let (outcome, counter) = match retry {
             Some(_) => ("taken", "retries_taken"),
             None => ("denied", "retries_denied"),
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -311,7 +311,7 @@
 
 /// Tells whether a retry is in hand for the next run, after taking one if there was none.
 pub(super) fn holds_retry<D>(state: &State<D>, stream: &Stream) -> bool {
-    let held = stream.retry.take().filter(Retry::is_fresh);
+    let held = stream.retry.take().filter(Retry::is_valid);
     let held = held.or_else(|| state.take_retry(&stream.service, &stream.id));
     let holds = held.is_some();
     stream.retry.replace(held);
