--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -202,7 +202,7 @@
     let mut pieces = BTreeMap::new();
     for change in &changes {
         if let (Some(entry), Some(value)) = (gossip::announced(&change.key), &change.value) {
-            let announcement = gossip::Announcement::read(value);
+            let announcement = gossip::Announcement::decode(value);
             entries.extend(announcement.map(|read| (Arc::from(entry), read)));
         }
         if let (Some(piece), Some(record)) =
@@ -232,7 +232,7 @@
         );
     }
     state.registered.set(true);
-    state.leadership.heard(is_held);
+    state.leadership.set_held(is_held);
     let mut reserve = state.retries.reserve.borrow_mut();
     reserve.replaced(&pieces, revision);
     drop(reserve);
@@ -264,7 +264,7 @@
     let mut is_changed = false;
     for change in &changes {
         if change.key == orders::HOLDER {
-            state.leadership.heard(change.value.is_some());
+            state.leadership.set_held(change.value.is_some());
         }
         apply_announcement(state, change);
         apply_piece(state, change);
@@ -303,7 +303,7 @@
     let Some(entry) = gossip::announced(&change.key) else {
         return;
     };
-    let announcement = change.value.as_ref().and_then(gossip::Announcement::read);
+    let announcement = change.value.as_ref().and_then(gossip::Announcement::decode);
     if *entry == *state.settings.name {
         check_own_announcement(state, announcement.as_ref(), change.revision);
         return;
--- a/crates/front/src/gossip/announce.rs
+++ b/crates/front/src/gossip/announce.rs
@@ -21,21 +21,21 @@
 
 /// How often the lease is renewed. A failed renewal is also how a silent store is detected, within
 /// the three seconds after which no change may be missed.
-const RENEW: Duration = Duration::from_millis(1_300);
+const RENEW_INTERVAL: Duration = Duration::from_millis(1_300);
 /// How long a renewal may take; a slow store answers within a third of a second.
-const ANSWER: Duration = Duration::from_millis(800);
+const RENEW_TIMEOUT: Duration = Duration::from_millis(800);
 /// The pause before a failed announcement or renewal is retried.
-const AGAIN: Duration = Duration::from_millis(700);
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 /// Keeps this entry announced in the store until the process ends.
 pub async fn announce<D, F: Feed>(state: Rc<State<D>>, store: F) {
     loop {
-        match take(&state, &store).await {
-            Ok(Some(lease)) => keep(&state, &store, lease).await,
+        match write_announcement(&state, &store).await {
+            Ok(Some(lease)) => renew(&state, &store, lease).await,
             Ok(None) => log::info!("event=not-announced cause=written-by-another"),
-            Err(error) => doubt(&state, "not-announced", &error),
+            Err(error) => cancel_watch(&state, "not-announced", &error),
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -44,9 +44,12 @@
 /// The write is conditional on the revision that was read, and at first on the key's absence.
 /// Otherwise a delayed write under an earlier lease could replace the announcement and remove the
 /// key when that lease expires.
-async fn take<D, F: Feed>(state: &State<D>, store: &F) -> Result<Option<Lease>, Error> {
+async fn write_announcement<D, F: Feed>(
+    state: &State<D>,
+    store: &F,
+) -> Result<Option<Lease>, Error> {
     let key = format!("{ENTRIES}{}", state.settings.name);
-    let began = clock::now();
+    let started_at = clock::now();
     let lease = store.grant(state.retries.lease).await?;
     let tenure = Tenure(lease.0.unsigned_abs());
     let announcement = Announcement {
@@ -58,21 +61,21 @@
     };
     let write = Write::Put {
         key: key.clone(),
-        value: announcement.text(),
+        value: announcement.encode(),
         lease: Some(lease),
     };
     let mut revision = Revision::default();
-    let is_there = |revision| Condition {
+    let at = |revision| Condition {
         key: key.clone(),
         revision,
     };
     if !store
-        .swap(&[is_there(revision)], std::slice::from_ref(&write))
+        .swap(&[at(revision)], std::slice::from_ref(&write))
         .await?
     {
-        let pair = store.get(&key).await?;
-        revision = pair.map_or(Revision::default(), |pair| pair.revision);
-        if !store.swap(&[is_there(revision)], &[write]).await? {
+        let current = store.get(&key).await?;
+        revision = current.map_or(Revision::default(), |current| current.revision);
+        if !store.swap(&[at(revision)], &[write]).await? {
             return Ok(None);
         }
     }
@@ -80,7 +83,7 @@
         return Ok(None);
     };
     state.retries.announced.set(written.revision);
-    state.retries.reserve.borrow_mut().begun(tenure, began);
+    state.retries.reserve.borrow_mut().begun(tenure, started_at);
     log::info!(
         "event=announced lease={tenure} revision={}",
         written.revision
@@ -89,26 +92,26 @@
 }
 
 /// Renews the lease until it has expired or this announcement has been replaced.
-async fn keep<D, F: Feed>(state: &State<D>, store: &F, lease: Lease) {
-    let mut pause = RENEW;
+async fn renew<D, F: Feed>(state: &State<D>, store: &F, lease: Lease) {
+    let mut pause = RENEW_INTERVAL;
     loop {
         tokio::time::sleep(pause).await;
-        let asked = clock::now();
-        let renewal = tokio::time::timeout(ANSWER, store.renew(lease)).await;
+        let sent_at = clock::now();
+        let renewal = tokio::time::timeout(RENEW_TIMEOUT, store.renew(lease)).await;
         let renewal = renewal.unwrap_or_else(|_| Err(Error::Unknown("timeout".into())));
         let mut reserve = state.retries.reserve.borrow_mut();
         pause = match renewal {
             Ok(true) => {
-                reserve.renewed(asked);
-                RENEW
+                reserve.renewed(sent_at);
+                RENEW_INTERVAL
             }
             Ok(false) => {
                 reserve.lost();
-                AGAIN
+                RETRY_PAUSE
             }
             Err(error) => {
-                doubt(state, "not-renewed", &error);
-                AGAIN
+                cancel_watch(state, "not-renewed", &error);
+                RETRY_PAUSE
             }
         };
         reserve.expire(clock::now());
@@ -120,7 +123,7 @@
 }
 
 /// Cancels the pending watch so that it is made again: it may never be answered.
-fn doubt<D>(state: &State<D>, event: &str, error: &Error) {
+fn cancel_watch<D>(state: &State<D>, event: &str, error: &Error) {
     state.store_doubted.notify_waiters();
     let cause = error.to_string().replace(' ', "-");
     log::info!("event={event} cause={cause}");
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -20,20 +20,20 @@
 
 /// The maximum size of one message in bytes. A report of a hundred entries on a hundred servers
 /// takes some 8 kB; a larger datagram could delay probes on a link of 20 Mbit/s.
-const MOST_BYTES: usize = 16_000;
+const MAX_MESSAGE_BYTES: usize = 16_000;
 /// The size of the receive buffer.
-pub(super) const BUFFER: usize = 65_536;
+pub(super) const RECEIVE_BUFFER_BYTES: usize = 65_536;
 /// The maximum number of portions of a report, far more than a hundred servers need.
-const MOST_PORTIONS: u16 = 1_024;
+const MAX_PORTIONS: u16 = 1_024;
 
 /// The wire form of an incarnation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct Start {
+struct WireIncarnation {
     server: String,
     born: Option<u64>,
 }
 
-impl From<&Incarnation> for Start {
+impl From<&Incarnation> for WireIncarnation {
     fn from(incarnation: &Incarnation) -> Self {
         Self {
             server: incarnation.server.to_string(),
@@ -42,43 +42,43 @@
     }
 }
 
-impl From<Start> for Incarnation {
-    fn from(start: Start) -> Self {
-        Self::new(start.server.into(), start.born.map(Born))
+impl From<WireIncarnation> for Incarnation {
+    fn from(incarnation: WireIncarnation) -> Self {
+        Self::new(incarnation.server.into(), incarnation.born.map(Born))
     }
 }
 
 /// One reported property of a server.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-enum Fact {
+enum Property {
     /// Its load from requests in flight.
-    Used { tokens: f32, requests: u32 },
+    Load { tokens: f32, requests: u32 },
     /// The outcomes of its requests.
-    Ended { good: f32, bad: f32 },
+    Outcomes { good: f32, bad: f32 },
     /// Its slowdown as a factor.
-    Slow(f32),
+    Slowdown(f32),
     /// It refuses requests, and this is assumed for so many milliseconds more.
-    Full(u32),
+    Refusing(u32),
     /// The number of entries that suspect it.
     Suspected(u32),
     /// The layers that it reported to the planner while the store was unavailable.
-    Holds { start: u32, end: u32 },
+    Held { start: u32, end: u32 },
     /// The layers that it was ordered to hold.
     Ordered { start: u32, end: u32 },
 }
 
-impl From<&Use> for Fact {
+impl From<&Use> for Property {
     fn from(used: &Use) -> Self {
-        Self::Used {
+        Self::Load {
             tokens: used.tokens as f32,
             requests: used.requests as u32,
         }
     }
 }
 
-impl From<&Tally> for Fact {
+impl From<&Tally> for Property {
     fn from(tally: &Tally) -> Self {
-        Self::Ended {
+        Self::Outcomes {
             good: tally.good as f32,
             bad: tally.bad as f32,
         }
@@ -104,8 +104,8 @@
 }
 
 impl From<Whose> for Scope {
-    fn from(whose: Whose) -> Self {
-        match whose {
+    fn from(scope: Whose) -> Self {
+        match scope {
             Whose::Own => Self::Own,
             Whose::Cell(id) => Self::Cell(Id(id.into())),
             Whose::Rest => Self::Rest,
@@ -118,14 +118,14 @@
 struct Message {
     entry: String,
     zone: String,
-    whose: Whose,
+    scope: Whose,
     number: u16,
     last: u16,
     entries: u32,
     served: u32,
     ready: Option<SocketAddr>,
     planner: Option<(u64, SocketAddr)>,
-    facts: Vec<(Start, Fact)>,
+    properties: Vec<(WireIncarnation, Property)>,
 }
 
 /// A decoded message.
@@ -149,7 +149,7 @@
     /// It cannot be decoded.
     Encoding,
     /// A number in it is not finite.
-    Figure,
+    NotFinite,
 }
 
 /// The entry that sends a report.
@@ -159,9 +159,10 @@
     pub(super) zone: &'a Zone,
 }
 
-fn facts(summary: &Summary) -> Vec<(Start, Fact)> {
-    let mut facts: Vec<(Start, Fact)> = Vec::new();
-    let mut add = |server: &Incarnation, fact: Fact| facts.push((server.into(), fact));
+fn properties(summary: &Summary) -> Vec<(WireIncarnation, Property)> {
+    let mut properties: Vec<(WireIncarnation, Property)> = Vec::new();
+    let mut add =
+        |server: &Incarnation, property: Property| properties.push((server.into(), property));
     for (server, used) in &summary.used {
         add(server, used.into());
     }
@@ -169,23 +170,23 @@
         add(server, tally.into());
     }
     for (server, slowness) in &summary.slow {
-        add(server, Fact::Slow(*slowness as f32));
+        add(server, Property::Slowdown(*slowness as f32));
     }
-    for (server, lasts) in &summary.full {
-        add(server, Fact::Full(lasts.0 as u32));
+    for (server, duration) in &summary.full {
+        add(server, Property::Refusing(duration.0 as u32));
     }
     for (server, entries) in &summary.suspects {
-        add(server, Fact::Suspected(*entries as u32));
+        add(server, Property::Suspected(*entries as u32));
     }
     for (server, layers) in &summary.held {
         let (start, end) = (layers.start, layers.end);
-        add(server, Fact::Holds { start, end });
+        add(server, Property::Held { start, end });
     }
     for (server, layers) in &summary.ordered {
         let (start, end) = (layers.start, layers.end);
-        add(server, Fact::Ordered { start, end });
+        add(server, Property::Ordered { start, end });
     }
-    facts
+    properties
 }
 
 /// Encodes a report in as many messages as it needs.
@@ -193,32 +194,34 @@
 /// A report that exceeds one datagram must be split, not dropped: the other entries would consider
 /// an entry dead that has the largest load of all.
 pub(super) fn encode(teller: Teller<'_>, scope: &Scope, summary: &Summary) -> Vec<Vec<u8>> {
-    let facts = facts(summary);
+    let properties = properties(summary);
     let mut portions = 1;
     loop {
-        let messages = portioned(teller, scope, summary, &facts, portions);
-        let is_short = messages.iter().all(|bytes| bytes.len() <= MOST_BYTES);
-        if is_short || portions >= MOST_PORTIONS {
+        let messages = encode_portions(teller, scope, summary, &properties, portions);
+        let fits = messages
+            .iter()
+            .all(|bytes| bytes.len() <= MAX_MESSAGE_BYTES);
+        if fits || portions >= MAX_PORTIONS {
             return messages;
         }
         portions *= 2;
     }
 }
 
-fn portioned(
+fn encode_portions(
     teller: Teller<'_>,
     scope: &Scope,
     summary: &Summary,
-    facts: &[(Start, Fact)],
+    properties: &[(WireIncarnation, Property)],
     portions: u16,
 ) -> Vec<Vec<u8>> {
     let messages = (0..portions).filter_map(|number| {
         let is_first = number == 0;
-        let own = facts.iter().skip(usize::from(number));
+        let portion = properties.iter().skip(usize::from(number));
         let message = Message {
             entry: teller.entry.into(),
             zone: teller.zone.to_string(),
-            whose: scope.into(),
+            scope: scope.into(),
             number,
             last: portions - 1,
             entries: if is_first { summary.entries as u32 } else { 0 },
@@ -228,7 +231,7 @@
                 .planner
                 .filter(|_| is_first)
                 .map(|(token, at)| (token.0, at)),
-            facts: own.step_by(usize::from(portions)).cloned().collect(),
+            properties: portion.step_by(usize::from(portions)).cloned().collect(),
         };
         bincode::DefaultOptions::new().serialize(&message).ok()
     });
@@ -241,7 +244,7 @@
 ///
 /// The message is malformed, or a number in it is not finite and would corrupt the sums.
 pub(super) fn decode(bytes: &[u8]) -> Result<Heard, Malformed> {
-    let options = bincode::DefaultOptions::new().with_limit(BUFFER as u64);
+    let options = bincode::DefaultOptions::new().with_limit(RECEIVE_BUFFER_BYTES as u64);
     let message: Message = options
         .deserialize(bytes)
         .map_err(|_| Malformed::Encoding)?;
@@ -253,13 +256,13 @@
         planner,
         ..Summary::default()
     };
-    for (server, fact) in message.facts {
-        take(&mut summary, server.into(), fact)?;
+    for (server, property) in message.properties {
+        insert(&mut summary, server.into(), property)?;
     }
     Ok(Heard {
         entry: message.entry,
         zone: message.zone.into(),
-        scope: message.whose.into(),
+        scope: message.scope.into(),
         portion: Portion {
             number: message.number,
             last: message.last,
@@ -268,35 +271,35 @@
     })
 }
 
-fn take(summary: &mut Summary, server: Incarnation, fact: Fact) -> Result<(), Malformed> {
-    match fact {
-        Fact::Used { tokens, requests } => {
+fn insert(summary: &mut Summary, server: Incarnation, property: Property) -> Result<(), Malformed> {
+    match property {
+        Property::Load { tokens, requests } => {
             let used = Use {
-                tokens: figure(tokens)?,
+                tokens: finite(tokens)?,
                 requests: u64::from(requests),
             };
             summary.used.insert(server, used);
         }
-        Fact::Ended { good, bad } => {
+        Property::Outcomes { good, bad } => {
             let tally = Tally {
-                good: figure(good)?,
-                bad: figure(bad)?,
+                good: finite(good)?,
+                bad: finite(bad)?,
             };
             summary.ended.insert(server, tally);
         }
-        Fact::Slow(slowness) => {
-            summary.slow.insert(server, figure(slowness)?);
+        Property::Slowdown(slowness) => {
+            summary.slow.insert(server, finite(slowness)?);
         }
-        Fact::Full(lasts) => {
-            summary.full.insert(server, Span(u64::from(lasts)));
+        Property::Refusing(duration) => {
+            summary.full.insert(server, Span(u64::from(duration)));
         }
-        Fact::Suspected(entries) => {
+        Property::Suspected(entries) => {
             summary.suspects.insert(server, u64::from(entries));
         }
-        Fact::Holds { start, end } => {
+        Property::Held { start, end } => {
             summary.held.insert(server, Range::new(start, end));
         }
-        Fact::Ordered { start, end } => {
+        Property::Ordered { start, end } => {
             summary.ordered.insert(server, Range::new(start, end));
         }
     }
@@ -304,9 +307,9 @@
 }
 
 /// Validates a summand; rounding may leave differences slightly below zero.
-fn figure(told: f32) -> Result<f64, Malformed> {
-    if !told.is_finite() {
-        return Err(Malformed::Figure);
+fn finite(value: f32) -> Result<f64, Malformed> {
+    if !value.is_finite() {
+        return Err(Malformed::NotFinite);
     }
-    Ok(f64::from(told).max(0.0))
+    Ok(f64::from(value).max(0.0))
 }
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -45,38 +45,47 @@
 /// The shortest interval between a report and an urgent one. The streams of a crashed server
 /// suspect it again and again; urgent reports of all entries for each of these could saturate a
 /// link of 20 Mbit/s, delay probes and make healthy servers look dead.
-const URGENT_GAP: Span = Span(40);
+const URGENT_INTERVAL: Span = Span(40);
 /// The shortest interval between two aggregations of received reports: messages arrive in bursts,
 /// and aggregating a hundred reports takes some 30 microseconds.
-const SUMS: Span = Span(50);
+const AGGREGATE_INTERVAL: Span = Span(50);
 
 /// Sends this entry's reports and receives those of others until the process ends.
 pub async fn run<D: Dialect>(state: Rc<State<D>>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     tokio::task::spawn_local(hear(state.clone(), socket.clone()));
     tokio::task::spawn_local(relay(state.clone(), socket.clone()));
-    let mut told = clock::now();
-    let mut told_rest = told;
+    let mut sent_at = clock::now();
+    let mut rest_sent_at = sent_at;
     loop {
         let urgent = state.is_news.notified();
         let is_urgent = tokio::time::timeout(millis(cell::TELL), urgent).await;
         if is_urgent.is_ok() {
-            let gap = URGENT_GAP.0.saturating_sub(clock::now().since(told).0);
+            let gap = URGENT_INTERVAL
+                .0
+                .saturating_sub(clock::now().since(sent_at).0);
             tokio::time::sleep(millis(Span(gap))).await;
         }
-        told = clock::now();
-        sum_up(&state);
-        for server in state.outliers.borrow_mut().judge(told) {
+        sent_at = clock::now();
+        aggregate(&state);
+        for server in state.outliers.borrow_mut().judge(sent_at) {
             log::info!("event=outlier server={server}");
         }
         let neighbours = state.peers.directory.borrow().neighbours();
-        tell(&state, &socket, &neighbours, &Scope::Own, &own(&state)).await;
-        let is_speaker = state.peers.directory.borrow().is_speaker(told);
-        if !is_speaker || told.since(told_rest) < cell::TELL {
+        tell(
+            &state,
+            &socket,
+            &neighbours,
+            &Scope::Own,
+            &own_report(&state),
+        )
+        .await;
+        let is_speaker = state.peers.directory.borrow().is_speaker(sent_at);
+        if !is_speaker || sent_at.since(rest_sent_at) < cell::TELL {
             continue;
         }
-        told_rest = told;
-        let rest = state.peers.board.borrow().rest(told);
+        rest_sent_at = sent_at;
+        let rest = state.peers.board.borrow().rest(sent_at);
         if rest.entries > 0 {
             tell(&state, &socket, &neighbours, &Scope::Rest, &rest).await;
         }
@@ -98,7 +107,7 @@
         if directory.borrow().cells() < 2 || !directory.borrow().is_speaker(now) {
             continue;
         }
-        let sum = state.peers.board.borrow().cell(now, &own(&state));
+        let sum = state.peers.board.borrow().cell(now, &own_report(&state));
         let scope = Scope::Cell(directory.borrow().home().clone());
         let targets = directory.borrow_mut().targets(now);
         tell(&state, &socket, &targets, &scope, &sum).await;
@@ -112,11 +121,11 @@
     scope: &Scope,
     summary: &Summary,
 ) {
-    let teller = Teller {
+    let sender = Teller {
         entry: &state.settings.name,
         zone: &state.settings.zone,
     };
-    let messages = message::encode(teller, scope, summary);
+    let messages = message::encode(sender, scope, summary);
     if messages.len() > 1 {
         state.metrics.count("gossip_split");
     }
@@ -132,7 +141,7 @@
 }
 
 /// Returns this entry's own report.
-fn own<D>(state: &State<D>) -> Summary {
+fn own_report<D>(state: &State<D>) -> Summary {
     let load = state.load.borrow();
     let suspicion = state.suspicion.borrow();
     let outliers = state.outliers.borrow();
@@ -147,24 +156,24 @@
         served: u64::from(!state.is_store_away()),
         ready: state.is_ready().then_some(address),
         planner: token.map(|token| (token, address)),
-        used: owned(load.own().map(|(server, used)| (server, *used))),
-        ended: owned(outliers.own(now)),
-        slow: owned(load.slow(now)),
-        full: owned(load.refusals.own(now)),
+        used: cloned(load.own().map(|(server, used)| (server, *used))),
+        ended: cloned(outliers.own(now)),
+        slow: cloned(load.slow(now)),
+        full: cloned(load.refusals.own(now)),
         suspects: suspects.collect(),
         held: state.told.borrow().clone(),
-        ordered: owned(ordered.map(|(server, layers)| (server, *layers))),
+        ordered: cloned(ordered.map(|(server, layers)| (server, *layers))),
     }
 }
 
-fn owned<'a, T, C: FromIterator<(Incarnation, T)>>(
+fn cloned<'a, T, C: FromIterator<(Incarnation, T)>>(
     rows: impl Iterator<Item = (&'a Incarnation, T)>,
 ) -> C {
     rows.map(|(server, row)| (server.clone(), row)).collect()
 }
 
 async fn hear<D: Dialect>(state: Rc<State<D>>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; message::BUFFER];
+    let mut buffer = vec![0; message::RECEIVE_BUFFER_BYTES];
     loop {
         let received: io::Result<(usize, SocketAddr)> = socket.recv_from(&mut buffer).await;
         let Ok((length, address)) = received else {
@@ -174,15 +183,15 @@
             continue;
         };
         match message::decode(&buffer[..length]) {
-            Ok(heard) => take(&state, address, heard),
+            Ok(heard) => handle(&state, address, heard),
             Err(Malformed::Encoding) => state.metrics.count("gossip_malformed"),
-            Err(Malformed::Figure) => state.metrics.count("gossip_senseless"),
+            Err(Malformed::NotFinite) => state.metrics.count("gossip_senseless"),
         }
     }
 }
 
 /// Handles a received message.
-fn take<D: Dialect>(state: &Rc<State<D>>, address: SocketAddr, heard: Heard) {
+fn handle<D: Dialect>(state: &Rc<State<D>>, address: SocketAddr, heard: Heard) {
     let now = clock::now();
     let entry: Arc<str> = heard.entry.into();
     let zone = heard.zone;
@@ -191,11 +200,11 @@
     directory.heard(now, &entry, Place { zone, address });
     drop(directory);
     if heard.portion.number == 0 {
-        take_planner(state, address, &heard.scope, &summary);
+        record_planner(state, address, &heard.scope, &summary);
     }
     let mut load = state.load.borrow_mut();
-    for (server, lasts) in &summary.full {
-        load.refusals.hear(now, server.clone(), *lasts);
+    for (server, duration) in &summary.full {
+        load.refusals.hear(now, server.clone(), *duration);
     }
     for (server, slowness) in &summary.slow {
         load.reported(now, server, *slowness);
@@ -204,32 +213,34 @@
     let mut board = state.peers.board.borrow_mut();
     board.hear(now, entry, heard.scope, heard.portion, summary);
     drop(board);
-    if now.since(state.peers.summed.get()) >= SUMS {
-        sum_up(state);
+    if now.since(state.peers.aggregated_at.get()) >= AGGREGATE_INTERVAL {
+        aggregate(state);
     }
 }
 
 /// Records which entry is the planner. Only an entry itself can say that it is not the planner.
-fn take_planner<D>(state: &State<D>, teller: SocketAddr, scope: &Scope, summary: &Summary) {
+fn record_planner<D>(state: &State<D>, sender: SocketAddr, scope: &Scope, summary: &Summary) {
     let now = clock::now();
     match (scope, summary.planner) {
         (_, Some((token, planner))) if planner != state.settings.gossip => {
-            state.leadership.heard_entry(now, planner, Some(token));
+            state.leadership.record_report(now, planner, Some(token));
         }
-        (Scope::Own, None) => state.leadership.heard_entry(now, teller, None),
+        (Scope::Own, None) => state.leadership.record_report(now, sender, None),
         _ => {}
     }
 }
 
 /// Aggregates the received reports and applies the result.
-fn sum_up<D: Dialect>(state: &Rc<State<D>>) {
+fn aggregate<D: Dialect>(state: &Rc<State<D>>) {
     let now = clock::now();
-    state.peers.summed.set(now);
+    state.peers.aggregated_at.set(now);
     let mut board = state.peers.board.borrow_mut();
     board.expire(now);
     let others = board.others(now);
     drop(board);
-    state.peers.set(others.entries, others.served, others.ready);
+    state
+        .peers
+        .set_summary(others.entries, others.served, others.ready);
     let mut load = state.load.borrow_mut();
     load.set_others(others.entries, others.used);
     drop(load);
@@ -238,18 +249,18 @@
         state.ordered.replace(others.ordered);
     }
     for (server, layers) in others.held {
-        learn_held(state, &server, layers);
+        apply_reported_layers(state, &server, layers);
     }
     let mut suspicion = state.suspicion.borrow_mut();
-    let doubted = suspicion.set_told(now, others.suspects);
+    let to_probe = suspicion.set_told(now, others.suspects);
     drop(suspicion);
-    for server in doubted {
-        ask(state, server);
+    for server in to_probe {
+        probe_suspect(state, server);
     }
 }
 
 /// Applies the layers that a server reported to the planner.
-fn learn_held<D: Dialect>(state: &Rc<State<D>>, server: &Incarnation, layers: Range) {
+fn apply_reported_layers<D: Dialect>(state: &Rc<State<D>>, server: &Incarnation, layers: Range) {
     let mut roster = state.roster.borrow_mut();
     let effect = roster.reported(clock::now(), server, layers);
     drop(roster);
@@ -262,7 +273,7 @@
 ///
 /// Entries without such requests prefer other servers while it is suspected. A probe from every
 /// entry would mean a burst of probes and connections for each crash and each false alarm.
-fn ask<D: Dialect>(state: &Rc<State<D>>, server: Incarnation) {
+fn probe_suspect<D: Dialect>(state: &Rc<State<D>>, server: Incarnation) {
     let is_used = state.load.borrow().has_own(&server);
     if !is_used || state.suspicion.borrow().holds(&server) {
         return;
--- a/crates/front/src/gossip/peers.rs
+++ b/crates/front/src/gossip/peers.rs
@@ -25,7 +25,7 @@
 
 impl Announcement {
     /// Decodes an announcement; `None` if the value is not one.
-    pub fn read(value: &Value) -> Option<Self> {
+    pub fn decode(value: &Value) -> Option<Self> {
         let Value::Text(text) = value else {
             return None;
         };
@@ -38,7 +38,7 @@
     }
 
     /// Encodes the announcement.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         let Place { zone, address } = &self.place;
         format!("{address} {zone} {}", self.tenure)
     }
@@ -51,9 +51,9 @@
     /// The latest report of each entry and cell.
     pub(super) board: RefCell<Board>,
     /// When the reports were last aggregated.
-    pub(super) summed: Cell<Instant>,
-    heard: Cell<u64>,
-    served: Cell<u64>,
+    pub(super) aggregated_at: Cell<Instant>,
+    reachable: Cell<u64>,
+    with_store: Cell<u64>,
     ready: Cell<Option<SocketAddr>>,
 }
 
@@ -63,18 +63,18 @@
         Self {
             directory: RefCell::new(Directory::new(own, place)),
             board: RefCell::default(),
-            summed: Cell::default(),
-            heard: Cell::default(),
-            served: Cell::default(),
+            aggregated_at: Cell::default(),
+            reachable: Cell::default(),
+            with_store: Cell::default(),
             ready: Cell::default(),
         }
     }
 
     /// Sets how many other entries were heard from, how many of them the store answers, and the
     /// lowest address of those that could become planner.
-    pub(super) fn set(&self, heard: u64, served: u64, ready: Option<SocketAddr>) {
-        self.heard.set(heard);
-        self.served.set(served);
+    pub(super) fn set_summary(&self, reachable: u64, with_store: u64, ready: Option<SocketAddr>) {
+        self.reachable.set(reachable);
+        self.with_store.set(with_store);
         self.ready.set(ready);
     }
 
@@ -82,8 +82,8 @@
     pub fn is_store_away(&self) -> bool {
         outage::is_for_all(outage::Word {
             known: self.count().saturating_sub(1),
-            heard: self.heard.get(),
-            served: self.served.get(),
+            heard: self.reachable.get(),
+            served: self.with_store.get(),
         })
     }
 
--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -25,7 +25,7 @@
 
 /// The TTL of the planner's lease. A dead planner is replaced within this time; meanwhile layers
 /// have other holders.
-const TTL: Span = Span(3_000);
+const LEASE_TTL: Span = Span(3_000);
 
 /// Who is the planner, according to the store and to gossip.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
 
 impl Leadership {
     /// Records whether the planner's lease is held.
-    pub fn heard(&self, is_held: bool) {
+    pub fn set_held(&self, is_held: bool) {
         self.is_held.set(is_held);
         if !is_held {
             self.changed.notify_waiters();
@@ -68,11 +68,11 @@
     }
 
     /// Records another entry's report on whether it is the planner.
-    pub fn heard_entry(&self, now: Instant, entry: SocketAddr, token: Option<Token>) {
+    pub fn record_report(&self, now: Instant, entry: SocketAddr, token: Option<Token>) {
         let mut sight = self.sight.get();
-        let before = sight.planner(now);
+        let previous = sight.planner(now);
         sight.heard(now, entry, token);
-        if token.is_some() && before != Some(entry) {
+        if token.is_some() && previous != Some(entry) {
             log::info!("event=planner-heard entry={entry}");
         }
         self.sight.set(sight);
@@ -82,14 +82,14 @@
 /// Campaigns for the planner's lease whenever it is free, until the process ends.
 pub async fn run<D: Dialect, F: Feed>(state: Rc<State<D>>, store: F) {
     loop {
-        if let Some(term) = begin(&state, &store).await {
+        if let Some(term) = begin_term(&state, &store).await {
             term.serve().await;
             state.leadership.own.set(None);
         }
         let changed = state.leadership.changed.notified();
         let pause = Duration::from_millis(rand::random_range(300..700));
         let _either = tokio::time::timeout(pause, changed).await;
-        tokio::time::sleep(turn(&state)).await;
+        tokio::time::sleep(campaign_delay(&state)).await;
     }
 }
 
@@ -97,30 +97,33 @@
 ///
 /// All entries learn at the same moment that the lease is free, and each campaign makes four calls
 /// to the store. The winner needs some 20 ms; the others learn of it half a second later or more.
-const TURN: Duration = Duration::from_millis(100);
-const MOST_TURNS: usize = 20;
+const CAMPAIGN_DELAY: Duration = Duration::from_millis(100);
+const MAX_CAMPAIGN_RANK: usize = 20;
 
-fn turn<D>(state: &State<D>) -> Duration {
-    let before = state.peers.directory.borrow().rank();
-    TURN * before.min(MOST_TURNS) as u32
+fn campaign_delay<D>(state: &State<D>) -> Duration {
+    let rank = state.peers.directory.borrow().rank();
+    CAMPAIGN_DELAY * rank.min(MAX_CAMPAIGN_RANK) as u32
 }
 
 /// Begins a term if the lease is free or this entry is to act as deputy.
-async fn begin<D: Dialect, F: Feed>(state: &Rc<State<D>>, store: &F) -> Option<Rc<Term<D, F>>> {
+async fn begin_term<D: Dialect, F: Feed>(
+    state: &Rc<State<D>>,
+    store: &F,
+) -> Option<Rc<Term<D, F>>> {
     if !state.is_ready() {
         return None;
     }
-    let (lead, tenure) = match stand_in(state) {
-        Some(lead) => (lead, Tenure::Deputy),
-        None => win(state, store).await?,
+    let (held, tenure) = match become_deputy(state) {
+        Some(held) => (held, Tenure::Deputy),
+        None => acquire_lease(state, store).await?,
     };
-    log::info!("event=planner-won token={} tenure={tenure:?}", lead.token);
+    log::info!("event=planner-won token={} tenure={tenure:?}", held.token);
     state.metrics.count("planner_terms");
-    state.leadership.own.set(Some(lead.token));
-    Some(Rc::new(Term::new(state, store, lead, tenure)))
+    state.leadership.own.set(Some(held.token));
+    Some(Rc::new(Term::new(state, store, held, tenure)))
 }
 
-fn stand_in<D>(state: &State<D>) -> Option<Holder> {
+fn become_deputy<D>(state: &State<D>) -> Option<Holder> {
     if !state.is_store_away_for_all() {
         return None;
     }
@@ -130,18 +133,25 @@
     Some(Holder {
         token,
         renewed: now,
-        ttl: TTL,
+        ttl: LEASE_TTL,
     })
 }
 
-async fn win<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, Tenure)> {
+async fn acquire_lease<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, Tenure)> {
     if state.leadership.is_held.get() {
         return None;
     }
-    let least = store.era().map_or(Token(0), Token::first_of);
-    let won = orders::acquire(store, clock::now(), TTL, &state.settings.name, least).await;
-    match won {
-        Ok(won) => won.map(|(lead, lease)| (lead, Tenure::Lease(lease))),
+    let min_token = store.era().map_or(Token(0), Token::first_of);
+    let acquired = orders::acquire(
+        store,
+        clock::now(),
+        LEASE_TTL,
+        &state.settings.name,
+        min_token,
+    )
+    .await;
+    match acquired {
+        Ok(acquired) => acquired.map(|(held, lease)| (held, Tenure::Lease(lease))),
         Err(error) => {
             let cause = error.to_string().replace(' ', "-");
             log::info!("event=planner-not-won cause={cause}");
--- a/crates/front/src/planner/order.rs
+++ b/crates/front/src/planner/order.rs
@@ -19,47 +19,47 @@
 use super::term::Term;
 
 /// The timeout of an order.
-const ANSWER: Duration = Duration::from_millis(800);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 /// The pause before a refused or unanswered order is sent again.
-const AGAIN: Duration = Duration::from_millis(700);
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
 impl<D: Dialect, F: Feed> Term<D, F> {
     /// Starts the delivery of an order unless it was given already.
-    pub(super) fn give(self: &Rc<Self>, order: Order) {
-        let known = self.state.roster.borrow().get(&order.server).cloned();
-        let Some(known) = known else {
+    pub(super) fn start_order(self: &Rc<Self>, order: Order) {
+        let server = self.state.roster.borrow().get(&order.server).cloned();
+        let Some(server) = server else {
             return;
         };
         let is_new = self
             .orders
             .borrow_mut()
-            .give(clock::now(), &order, known.held);
+            .give(clock::now(), &order, server.held);
         if !is_new {
             return;
         }
-        let address = known.address;
-        tokio::task::spawn_local(self.clone().place(order, address));
+        let address = server.address;
+        tokio::task::spawn_local(self.clone().deliver(order, address));
     }
 
     /// Delivers one order; after a failure the server's report decides what to do next.
-    async fn place(self: Rc<Self>, order: Order, address: SocketAddr) {
+    async fn deliver(self: Rc<Self>, order: Order, address: SocketAddr) {
         let name = &order.server;
-        let mut known = self.orders_taken(name, address).await;
-        while self.is_wanted(&order) {
+        let mut accepted = self.orders_accepted(name, address).await;
+        while self.is_current(&order) {
             if !self.may_order() {
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             }
-            let handover = order.handover_now(self.is_dark(&order));
-            let sent = self.send(&order, handover, address, known);
-            let answer = tokio::time::timeout(ANSWER, sent).await;
+            let handover = order.handover_now(self.has_no_path(&order));
+            let sent = self.send(&order, handover, address, accepted);
+            let answer = tokio::time::timeout(ORDER_TIMEOUT, sent).await;
             let outcome = match &answer {
                 Ok(Ok(status)) => status.as_u16().to_string(),
                 Ok(Err(error)) => format!("{error:#}").replace(' ', "-"),
                 Err(_) => "timeout".into(),
             };
             log::info!(
-                "event=order server={name} layers={} handover={handover:?} held={} requests={} token={} taken={known} outcome={outcome}",
+                "event=order server={name} layers={} handover={handover:?} held={} requests={} token={} taken={accepted} outcome={outcome}",
                 order.layers,
                 self.state
                     .roster
@@ -67,40 +67,42 @@
                     .held(&name.server)
                     .unwrap_or_default(),
                 self.state.load.borrow().requests(name),
-                self.lead.get().token
+                self.lease.get().token
             );
             match answer {
                 Ok(Ok(StatusCode::ACCEPTED | StatusCode::OK)) => {
-                    self.taken.borrow_mut().insert(name.clone(), known + 1);
+                    self.accepted
+                        .borrow_mut()
+                        .insert(name.clone(), accepted + 1);
                     self.orders.borrow_mut().accept(&order);
                     return;
                 }
                 Ok(Ok(StatusCode::PRECONDITION_FAILED)) => {
                     // A later planner has given orders, so this term is over.
                     self.is_over.set(true);
-                    self.state.leadership.refused(self.lead.get().token);
+                    self.state.leadership.refused(self.lease.get().token);
                     return;
                 }
                 _ => {}
             }
             if !matches!(answer, Ok(Ok(StatusCode::CONFLICT))) {
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
             let Ok(report) = probe::report(&self.state, name, address).await else {
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             };
-            let was_known = known == report.orders;
-            known = report.orders;
+            let is_unchanged = accepted == report.orders;
+            accepted = report.orders;
             if report.held == Some(order.layers) {
                 return;
             }
-            if was_known {
+            if is_unchanged {
                 self.orders.borrow_mut().refuse(&order);
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
-            while self.is_wanted(&order) && self.is_busy(name, address).await {
-                tokio::time::sleep(AGAIN).await;
+            while self.is_current(&order) && self.is_busy(name, address).await {
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
@@ -109,9 +111,9 @@
     ///
     /// A server that holds layers has accepted orders of an earlier planner and would refuse an
     /// order with another count.
-    async fn orders_taken(&self, name: &Incarnation, address: SocketAddr) -> u64 {
-        if let Some(taken) = self.taken.borrow().get(name) {
-            return *taken;
+    async fn orders_accepted(&self, name: &Incarnation, address: SocketAddr) -> u64 {
+        if let Some(accepted) = self.accepted.borrow().get(name) {
+            return *accepted;
         }
         let held = self.state.roster.borrow().held(&name.server);
         if held.is_none_or(Range::is_empty) {
@@ -127,7 +129,7 @@
     }
 
     /// Returns whether no path exists through the model that an order belongs to.
-    fn is_dark(&self, order: &Order) -> bool {
+    fn has_no_path(&self, order: &Order) -> bool {
         let roster = self.state.roster.borrow();
         let fleets = self.state.fleets.borrow();
         let service = roster.get(&order.server).map(|server| &server.service);
@@ -136,7 +138,7 @@
     }
 
     /// Returns whether an order is still the latest one for its server.
-    fn is_wanted(&self, order: &Order) -> bool {
+    fn is_current(&self, order: &Order) -> bool {
         !self.is_over.get() && self.orders.borrow().is_wanted(order)
     }
 
@@ -145,10 +147,15 @@
         order: &Order,
         handover: Handover,
         address: SocketAddr,
-        taken: u64,
+        accepted: u64,
     ) -> anyhow::Result<StatusCode> {
         self.state.metrics.count("orders");
-        let body = D::place(order.layers, handover, self.lead.get().token, Some(taken));
+        let body = D::place(
+            order.layers,
+            handover,
+            self.lease.get().token,
+            Some(accepted),
+        );
         let pool = &self.state.pool;
         let (status, _) = pool::order::<D>(pool, &order.server, address, body).await?;
         Ok(status)
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jujube_core::fence::Holder as Lead;
+use jujube_core::fence::Holder as HeldLease;
 use jujube_core::name::Service;
 use jujube_core::pipeline::assignment::Assignments;
 use jujube_core::pipeline::engine::Engine;
@@ -26,24 +26,24 @@
 use crate::state::Phase;
 use crate::state::State;
 
-use super::TTL;
+use super::LEASE_TTL;
 
 /// How often the lease is renewed; two renewals may fail.
-const RENEW: Duration = Duration::from_millis(900);
+const RENEW_INTERVAL: Duration = Duration::from_millis(900);
 /// How often the plan is checked when nothing changes.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// How long the number of registrations must have been stable before empty servers are first
 /// placed, so that all of them are known.
-const SETTLED: Span = Span(700);
+const SETTLE_TIME: Span = Span(700);
 const _: () = assert!(
-    SETTLED.0 > follow::MAX_PLANNER_PAUSE.0,
+    SETTLE_TIME.0 > follow::MAX_PLANNER_PAUSE.0,
     "registrations are not quiet between two looks at them"
 );
 /// How long a server that joined empty waits for the drain of the server that it replaces, which
 /// usually follows within a second.
-const JOINING: Span = Span(1_300);
+const JOIN_DELAY: Span = Span(1_300);
 /// How often servers are asked for the layers they hold while the store is unavailable.
-const ASK: Duration = Duration::from_millis(1_000);
+const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The source of a planner's authority.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Tenure {
@@ -57,25 +57,25 @@
 pub(super) struct Term<D, F> {
     pub(super) state: Rc<State<D>>,
     pub(super) store: F,
-    pub(super) lead: Cell<Lead>,
+    pub(super) lease: Cell<HeldLease>,
     pub(super) tenure: Tenure,
     pub(super) is_over: Cell<bool>,
     /// How often the store had been restored when the term began.
     restores: u64,
     pub(super) orders: RefCell<Assignments>,
     /// The number of orders that each server is known to have accepted.
-    pub(super) taken: RefCell<BTreeMap<Incarnation, u64>>,
+    pub(super) accepted: RefCell<BTreeMap<Incarnation, u64>>,
     /// The input of the last plan of each model. Planning blocks the event loop for some
     /// milliseconds, and the same input gives the same plan.
     pub(super) planned: RefCell<BTreeMap<Service, Vec<Holder>>>,
 }
 
 impl<D: Dialect, F: Feed> Term<D, F> {
-    pub(super) fn new(state: &Rc<State<D>>, store: &F, lead: Lead, tenure: Tenure) -> Self {
+    pub(super) fn new(state: &Rc<State<D>>, store: &F, lease: HeldLease, tenure: Tenure) -> Self {
         Self {
             state: state.clone(),
             store: store.clone(),
-            lead: Cell::new(lead),
+            lease: Cell::new(lease),
             tenure,
             is_over: Cell::new(false),
             restores: state.leadership.restores.get(),
@@ -83,7 +83,7 @@
                 clock::now(),
                 &state.ordered.borrow(),
             )),
-            taken: RefCell::default(),
+            accepted: RefCell::default(),
             planned: RefCell::default(),
         }
     }
@@ -92,7 +92,7 @@
         if let Tenure::Lease(lease) = self.tenure {
             tokio::task::spawn_local(self.clone().renew(lease));
         }
-        tokio::task::spawn_local(self.clone().watch_holders());
+        tokio::task::spawn_local(self.clone().poll_servers());
         let mut quiet_since = clock::now();
         let mut known = 0;
         while !self.is_over.get() {
@@ -100,24 +100,24 @@
                 self.resign().await;
                 break;
             }
-            let is_needless = self.tenure == Tenure::Deputy && !self.is_needed();
-            if is_needless || self.is_forgotten() {
+            let is_redundant = self.tenure == Tenure::Deputy && !self.is_needed();
+            if is_redundant || self.may_be_lost() {
                 break;
             }
             let changed = self.state.roster_changed.notified();
-            let _either = tokio::time::timeout(LOOK, changed).await;
+            let _either = tokio::time::timeout(CHECK_INTERVAL, changed).await;
             let count = self.state.roster.borrow().usable().count();
             if count != known {
                 known = count;
                 quiet_since = clock::now();
             }
             if self.may_order() {
-                let is_settled = clock::now().since(quiet_since) >= SETTLED;
-                self.look(is_settled);
+                let is_settled = clock::now().since(quiet_since) >= SETTLE_TIME;
+                self.plan(is_settled);
             }
         }
         self.is_over.set(true);
-        log::info!("event=planner-lost token={}", self.lead.get().token);
+        log::info!("event=planner-lost token={}", self.lease.get().token);
     }
 
     /// Returns whether a deputy is still needed.
@@ -134,7 +134,7 @@
             return state.is_store_away_for_all();
         }
         let returned = state.roster.borrow().returned();
-        let is_lapsing = returned.is_some_and(|returned| now.since(returned) <= TTL);
+        let is_lapsing = returned.is_some_and(|returned| now.since(returned) <= LEASE_TTL);
         state.leadership.is_held.get() && is_lapsing
     }
 
@@ -145,17 +145,17 @@
     /// which is still the highest. It stops once any entry can reach the store, because that entry
     /// may have become planner.
     pub(super) fn may_order(&self) -> bool {
-        if self.is_forgotten() {
+        if self.may_be_lost() {
             return false;
         }
-        let is_office_open =
-            self.tenure == Tenure::Deputy || self.lead.get().may_order(clock::now());
-        is_office_open || self.state.is_store_away_for_all()
+        let is_authorized =
+            self.tenure == Tenure::Deputy || self.lease.get().may_order(clock::now());
+        is_authorized || self.state.is_store_away_for_all()
     }
 
     /// Returns whether a restored store may have lost this term's lease, so that another entry may
     /// hold it too.
-    fn is_forgotten(&self) -> bool {
+    fn may_be_lost(&self) -> bool {
         self.restores != self.state.leadership.restores.get()
     }
 
@@ -170,7 +170,7 @@
             return;
         };
         match self.store.revoke(lease).await {
-            Ok(()) => log::info!("event=planner-resigned token={}", self.lead.get().token),
+            Ok(()) => log::info!("event=planner-resigned token={}", self.lease.get().token),
             Err(error) => {
                 let cause = error.to_string().replace(' ', "-");
                 log::info!("event=planner-not-resigned cause={cause}");
@@ -180,13 +180,13 @@
 
     async fn renew(self: Rc<Self>, lease: Lease) {
         while !self.is_over.get() {
-            tokio::time::sleep(RENEW).await;
+            tokio::time::sleep(RENEW_INTERVAL).await;
             let sent = clock::now();
             match self.store.renew(lease).await {
                 Ok(true) => {
-                    let mut lead = self.lead.get();
-                    lead.renewed = sent;
-                    self.lead.set(lead);
+                    let mut held = self.lease.get();
+                    held.renewed = sent;
+                    self.lease.set(held);
                 }
                 Ok(false) => self.is_over.set(true),
                 // The store is unavailable. Orders stop once the lease may have expired; after the
@@ -194,8 +194,8 @@
                 Err(error) => {
                     let cause = error.to_string().replace(' ', "-");
                     log::info!("event=lease-not-renewed cause={cause}");
-                    let lead = self.lead.get();
-                    let has_lapsed = clock::now().since(lead.renewed) > lead.ttl;
+                    let held = self.lease.get();
+                    let has_lapsed = clock::now().since(held.renewed) > held.ttl;
                     if has_lapsed && !self.state.is_store_away_for_all() {
                         self.is_over.set(true);
                         self.state.leadership.is_held.set(false);
@@ -210,10 +210,10 @@
     ///
     /// Other servers are not asked, because requests cost bandwidth: a slowdown shows in streams
     /// that fall behind.
-    async fn watch_holders(self: Rc<Self>) {
+    async fn poll_servers(self: Rc<Self>) {
         while !self.is_over.get() {
-            tokio::time::sleep(ASK).await;
-            for (server, address) in self.doubtful() {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            for (server, address) in self.servers_to_poll() {
                 if let Ok(report) = probe::report(&self.state, &server, address).await {
                     if let Some(held) = report.held {
                         follow::apply_reported_layers(&self.state, &server, held);
@@ -233,7 +233,7 @@
     }
 
     /// Returns the servers to ask: all while the store is unavailable, otherwise the slow ones.
-    fn doubtful(&self) -> Vec<(Incarnation, SocketAddr)> {
+    fn servers_to_poll(&self) -> Vec<(Incarnation, SocketAddr)> {
         let roster = self.state.roster.borrow();
         let load = self.state.load.borrow();
         let now = clock::now();
@@ -248,7 +248,7 @@
     }
 
     /// Gives the orders that the current plan requires.
-    fn look(self: &Rc<Self>, is_settled: bool) {
+    fn plan(self: &Rc<Self>, is_settled: bool) {
         let Some(table) = self.state.table() else {
             return;
         };
@@ -257,19 +257,19 @@
                 continue;
             };
             let holders = self.holders(service, engine);
-            let is_first = holders.iter().all(|holder| holder.held.is_empty());
-            if is_first && !is_settled {
+            let is_empty = holders.iter().all(|holder| holder.held.is_empty());
+            if is_empty && !is_settled {
                 continue;
             }
             let last = self
                 .planned
                 .borrow_mut()
                 .insert(service.clone(), holders.clone());
-            if last.is_some_and(|last| is_same_to_plan(&last, &holders)) {
+            if last.is_some_and(|last| is_same_input(&last, &holders)) {
                 continue;
             }
             for order in placement::plan(engine, &holders) {
-                self.give(order);
+                self.start_order(order);
             }
         }
     }
@@ -280,8 +280,8 @@
         let load = self.state.load.borrow();
         let now = clock::now();
         let held = |server: &Incarnation| roster.get(server).map(|server| server.held);
-        for (server, layers, took) in orders.settle(now, held) {
-            log::info!("event=order-shown server={server} layers={layers} took_ms={took}");
+        for (server, layers, duration) in orders.settle(now, held) {
+            log::info!("event=order-shown server={server} layers={layers} took_ms={duration}");
         }
         self.state.ordered.replace(orders.accepted());
         let servers = roster.usable().filter(|server| server.service == *service);
@@ -293,7 +293,7 @@
             let age = roster.age(now, &server.incarnation).unwrap_or_default();
             let phase = match order {
                 Some(order) => order.phase(now, requests, engine, orders.len()),
-                None if server.held.is_empty() && age < JOINING => Work::Joining,
+                None if server.held.is_empty() && age < JOIN_DELAY => Work::Joining,
                 None => Work::Settled,
             };
             Some(Holder {
@@ -320,7 +320,7 @@
 
 /// Returns whether two inputs give the same plan; the numbers of requests affect only which servers
 /// move, not whether any do.
-fn is_same_to_plan(before: &[Holder], now: &[Holder]) -> bool {
+fn is_same_input(before: &[Holder], now: &[Holder]) -> bool {
     let without_requests = |holders: &[Holder]| -> Vec<Holder> {
         let holders = holders.iter().cloned();
         holders
