--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -25,7 +25,6 @@
 use tokio::task::LocalSet;
 
 use crate::dialect::Dialect;
-use crate::follow;
 use crate::gossip;
 use crate::planner;
 use crate::pool;
@@ -37,6 +36,7 @@
 use crate::slack;
 use crate::state::Phase;
 use crate::state::State;
+use crate::store_watch;
 use crate::waiting;
 use crate::watchdog;
 
@@ -83,8 +83,8 @@
     let state = Rc::new(State::<D>::new(settings));
     tokio::task::spawn_local(ready::serve(state.clone(), readiness));
     tokio::task::spawn_local(ready::serve(state.clone(), metrics));
-    tokio::task::spawn_local(follow::run(state.clone(), store.clone()));
-    tokio::task::spawn_local(follow::expire(state.clone()));
+    tokio::task::spawn_local(store_watch::run(state.clone(), store.clone()));
+    tokio::task::spawn_local(store_watch::expire(state.clone()));
     tokio::task::spawn_local(planner::run(state.clone(), store.clone()));
     tokio::task::spawn_local(gossip::announce(state.clone(), store.clone()));
     tokio::task::spawn_local(slack::run(state.clone(), store));
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -22,9 +22,9 @@
 use tokio::net::UdpSocket;
 
 use crate::dialect::Dialect;
-use crate::follow;
 use crate::probe;
 use crate::state::State;
+use crate::store_watch;
 
 use message::Heard;
 use message::Malformed;
@@ -265,7 +265,7 @@
     let effect = roster.reported(clock::now(), server, layers);
     drop(roster);
     if effect != Effect::None {
-        follow::rebuild(state);
+        store_watch::rebuild(state);
     }
 }
 
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -21,10 +21,10 @@
 use jujube_store::kv::Lease;
 
 use crate::dialect::Dialect;
-use crate::follow;
 use crate::probe;
 use crate::state::Phase;
 use crate::state::State;
+use crate::store_watch;
 
 use super::LEASE_TTL;
 
@@ -36,7 +36,7 @@
 /// placed, so that all of them are known.
 const SETTLE_TIME: Span = Span(700);
 const _: () = assert!(
-    SETTLE_TIME.0 > follow::MAX_PLANNER_PAUSE.0,
+    SETTLE_TIME.0 > store_watch::MAX_PLANNER_PAUSE.0,
     "registrations are not quiet between two looks at them"
 );
 /// How long a server that joined empty waits for the drain of the server that it replaces, which
@@ -216,7 +216,7 @@
             for (server, address) in self.servers_to_poll() {
                 if let Ok(report) = probe::report(&self.state, &server, address).await {
                     if let Some(held) = report.held {
-                        follow::apply_reported_layers(&self.state, &server, held);
+                        store_watch::apply_reported_layers(&self.state, &server, held);
                     }
                     let mut load = self.state.load.borrow_mut();
                     load.asked(clock::now(), &server, report.slowness);
--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -20,10 +20,10 @@
 
 use crate::dialect::Dialect;
 use crate::dialect::Report;
-use crate::follow;
 use crate::pool;
 use crate::pool::Lease;
 use crate::state::State;
+use crate::store_watch;
 
 /// How long a server may take to answer; its report needs no slot, and the way there and back takes
 /// two milliseconds.
@@ -108,7 +108,7 @@
 /// get neither layers nor work until the store is back.
 fn learn_restart<D: Dialect>(state: &State<D>, earlier: &Incarnation, report: &Report) {
     let later = Incarnation::new(earlier.server.clone(), report.born);
-    follow::apply_reported_layers(state, &later, report.held.unwrap_or_default());
+    store_watch::apply_reported_layers(state, &later, report.held.unwrap_or_default());
 }
 
 async fn ask<D: Dialect>(
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -24,7 +24,6 @@
 use jujube_program::clock;
 
 use crate::fleet::Gaps;
-use crate::follow::Malformed;
 use crate::gossip::Peers;
 use crate::metrics::Metrics;
 use crate::planner::Leadership;
@@ -33,6 +32,7 @@
 use crate::retries::Retries;
 use crate::retries::Retry;
 use crate::settings::Settings;
+use crate::store_watch::Malformed;
 use crate::waiting::Waiting;
 use crate::watchdog;
 use crate::watchdog::Streams;
