--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -20,7 +20,7 @@
 use crate::dialect::Dialect;
 use crate::state::State;
 
-use term::Tenure;
+use term::Authority;
 use term::Term;
 
 /// The TTL of the planner's lease. A dead planner is replaced within this time; meanwhile layers
@@ -113,14 +113,14 @@
     if !state.is_ready() {
         return None;
     }
-    let (held, tenure) = match become_deputy(state) {
-        Some(held) => (held, Tenure::Deputy),
+    let (held, authority) = match become_deputy(state) {
+        Some(held) => (held, Authority::Deputy),
         None => acquire_lease(state, store).await?,
     };
-    log::info!("event=planner-won token={} tenure={tenure:?}", held.token);
+    log::info!("event=planner-won token={} tenure={authority}", held.token);
     state.metrics.count("planner_terms");
     state.leadership.own.set(Some(held.token));
-    Some(Rc::new(Term::new(state, store, held, tenure)))
+    Some(Rc::new(Term::new(state, store, held, authority)))
 }
 
 fn become_deputy<D>(state: &State<D>) -> Option<Holder> {
@@ -137,7 +137,7 @@
     })
 }
 
-async fn acquire_lease<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, Tenure)> {
+async fn acquire_lease<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, Authority)> {
     if state.leadership.is_held.get() {
         return None;
     }
@@ -151,7 +151,7 @@
     )
     .await;
     match acquired {
-        Ok(acquired) => acquired.map(|(held, lease)| (held, Tenure::Lease(lease))),
+        Ok(acquired) => acquired.map(|(held, lease)| (held, Authority::Lease(lease))),
         Err(error) => {
             let cause = error.to_string().replace(' ', "-");
             log::info!("event=planner-not-won cause={cause}");
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -3,6 +3,9 @@
 use std::cell::Cell;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use std::fmt;
+use std::fmt::Display;
+use std::fmt::Formatter;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -44,21 +47,32 @@
 const JOIN_DELAY: Span = Span(1_300);
 /// How often servers are asked for the layers they hold while the store is unavailable.
 const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
+
 /// The source of a planner's authority.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Tenure {
+pub(super) enum Authority {
     /// The planner's lease in the store.
     Lease(Lease),
     /// The planner is gone, and the store cannot elect another.
     Deputy,
 }
 
+/// The text of `tenure=` in logs.
+impl Display for Authority {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Lease(lease) => write!(f, "Lease(Lease({}))", lease.0),
+            Self::Deputy => write!(f, "Deputy"),
+        }
+    }
+}
+
 /// A planner's term.
 pub(super) struct Term<D, F> {
     pub(super) state: Rc<State<D>>,
     pub(super) store: F,
     pub(super) lease: Cell<HeldLease>,
-    pub(super) tenure: Tenure,
+    pub(super) authority: Authority,
     pub(super) is_over: Cell<bool>,
     /// How often the store had been restored when the term began.
     restores: u64,
@@ -71,12 +85,17 @@
 }
 
 impl<D: Dialect, F: Feed> Term<D, F> {
-    pub(super) fn new(state: &Rc<State<D>>, store: &F, lease: HeldLease, tenure: Tenure) -> Self {
+    pub(super) fn new(
+        state: &Rc<State<D>>,
+        store: &F,
+        lease: HeldLease,
+        authority: Authority,
+    ) -> Self {
         Self {
             state: state.clone(),
             store: store.clone(),
             lease: Cell::new(lease),
-            tenure,
+            authority,
             is_over: Cell::new(false),
             restores: state.leadership.restores.get(),
             orders: RefCell::new(Assignments::inherited(
@@ -89,7 +108,7 @@
     }
 
     pub(super) async fn serve(self: &Rc<Self>) {
-        if let Tenure::Lease(lease) = self.tenure {
+        if let Authority::Lease(lease) = self.authority {
             tokio::task::spawn_local(self.clone().renew(lease));
         }
         tokio::task::spawn_local(self.clone().poll_servers());
@@ -100,7 +119,7 @@
                 self.resign().await;
                 break;
             }
-            let is_redundant = self.tenure == Tenure::Deputy && !self.is_needed();
+            let is_redundant = self.authority == Authority::Deputy && !self.is_needed();
             if is_redundant || self.may_be_lost() {
                 break;
             }
@@ -149,7 +168,7 @@
             return false;
         }
         let is_authorized =
-            self.tenure == Tenure::Deputy || self.lease.get().may_order(clock::now());
+            self.authority == Authority::Deputy || self.lease.get().may_order(clock::now());
         is_authorized || self.state.is_store_away_for_all()
     }
 
@@ -166,7 +185,7 @@
         // Gossip reports the vacancy at once, even during an outage of the store.
         self.state.leadership.own.set(None);
         self.state.is_news.notify_waiters();
-        let Tenure::Lease(lease) = self.tenure else {
+        let Authority::Lease(lease) = self.authority else {
             return;
         };
         match self.store.revoke(lease).await {
