--- a/crates/front/src/store_watch.rs
+++ b/crates/front/src/store_watch.rs
@@ -332,7 +332,8 @@
     let mut reserve = state.retries.reserve.borrow_mut();
     let tenure = announcement.map(|announcement| announcement.tenure);
     if reserve.tenure().is_some() && reserve.tenure() != tenure {
-        log::info!("event=announcement-overtaken by={tenure:?}");
+        let by = tenure.map_or("None".into(), |tenure| format!("Some(Tenure({tenure}))"));
+        log::info!("event=announcement-overtaken by={by}");
         reserve.lost();
     }
 }
