--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -34,7 +34,7 @@
 use crate::request;
 use crate::settings::Settings;
 use crate::slack;
-use crate::state::Phase;
+use crate::state::Lifecycle;
 use crate::state::State;
 use crate::store_watch;
 use crate::waiting;
@@ -99,7 +99,7 @@
     tokio::task::spawn_local(accept(state.clone(), listener, closing));
     shutdown::terminated().await?;
     log::info!("event=stopping in_flight={}", state.in_flight.get());
-    state.phase.set(Phase::Leaving);
+    state.lifecycle.set(Lifecycle::Draining);
     drain(&state, &trigger).await;
     log::info!("event=stopped in_flight={}", state.in_flight.get());
     logs::flush();
@@ -124,7 +124,7 @@
     let timeout = tokio::time::sleep(stop);
     let drained = async {
         tokio::time::sleep(DRAIN_TIME).await;
-        state.phase.set(Phase::Closing);
+        state.lifecycle.set(Lifecycle::Closing);
         closing.stop();
         while state.in_flight.get() > 0 {
             tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
@@ -163,7 +163,7 @@
         let state = state.clone();
         async move {
             let mut response = request::serve(state.clone(), request).await;
-            if state.phase.get() != Phase::Serving {
+            if state.lifecycle.get() != Lifecycle::Serving {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -25,7 +25,7 @@
 
 use crate::dialect::Dialect;
 use crate::probe;
-use crate::state::Phase;
+use crate::state::Lifecycle;
 use crate::state::State;
 use crate::store_watch;
 
@@ -115,7 +115,7 @@
         let mut quiet_since = clock::now();
         let mut known = 0;
         while !self.is_over.get() {
-            if self.state.phase.get() != Phase::Serving {
+            if self.state.lifecycle.get() != Lifecycle::Serving {
                 self.resign().await;
                 break;
             }
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -25,7 +25,7 @@
 use crate::body::Body;
 use crate::dialect::Dialect;
 use crate::head;
-use crate::state::Phase;
+use crate::state::Lifecycle;
 use crate::state::State;
 use crate::stream;
 use crate::upstream::Outgoing;
@@ -146,7 +146,7 @@
     if !state.registered.get() {
         return Err(Reason::Starting);
     }
-    if state.phase.get() == Phase::Closing {
+    if state.lifecycle.get() == Lifecycle::Closing {
         return Err(Reason::Stopping);
     }
     let host = head::text(request.headers(), &HOST).ok_or(Reason::Malformed)?;
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -39,12 +39,12 @@
 
 /// The stages of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Phase {
+pub enum Lifecycle {
     /// The entry is ready and serves callers.
     #[default]
     Serving,
     /// The entry reports not ready; new requests are still served.
-    Leaving,
+    Draining,
     /// New requests are refused: they might not complete before the process is killed.
     Closing,
 }
@@ -100,7 +100,7 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// The stage of a graceful shutdown.
-    pub phase: Cell<Phase>,
+    pub lifecycle: Cell<Lifecycle>,
     /// Notified when a call to the store has failed or timed out.
     pub store_doubted: tokio::sync::Notify,
     /// What is known about the planner.
@@ -143,7 +143,7 @@
             waiting: Waiting::default(),
             streams: Streams::default(),
             metrics: Metrics::default(),
-            phase: Cell::default(),
+            lifecycle: Cell::default(),
             store_doubted: tokio::sync::Notify::new(),
             leadership: Leadership::default(),
             in_flight: Cell::new(0),
@@ -159,7 +159,7 @@
     /// Returns whether callers may be sent to this entry.
     pub fn is_ready(&self) -> bool {
         let known = self.table.borrow().is_some() && self.registered.get();
-        known && self.phase.get() == Phase::Serving
+        known && self.lifecycle.get() == Lifecycle::Serving
     }
 
     /// Acquires a retry for a request; `None` if the retry budget is exhausted.
