--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -58,7 +58,7 @@
     let mut sent_at = clock::now();
     let mut rest_sent_at = sent_at;
     loop {
-        let urgent = state.is_news.notified();
+        let urgent = state.urgent_report.notified();
         let is_urgent = tokio::time::timeout(millis(cell::TELL), urgent).await;
         if is_urgent.is_ok() {
             let gap = URGENT_INTERVAL
@@ -149,7 +149,7 @@
     let address = state.settings.gossip;
     let token = state.leadership.own();
     let suspects = suspicion.names().map(|server| (server.clone(), 1));
-    let ordered = state.ordered.borrow();
+    let ordered = state.ordered_layers.borrow();
     let ordered = ordered.iter().filter(|_| token.is_some());
     Summary {
         entries: 1,
@@ -161,7 +161,7 @@
         slow: cloned(load.slow(now)),
         full: cloned(load.refusals.own(now)),
         suspects: suspects.collect(),
-        held: state.told.borrow().clone(),
+        held: state.reported_layers.borrow().clone(),
         ordered: cloned(ordered.map(|(server, layers)| (server, *layers))),
     }
 }
@@ -246,7 +246,7 @@
     drop(load);
     state.outliers.borrow_mut().set_others(others.ended);
     if others.planner.is_some() && state.leadership.own().is_none() {
-        state.ordered.replace(others.ordered);
+        state.ordered_layers.replace(others.ordered);
     }
     for (server, layers) in others.held {
         apply_reported_layers(state, &server, layers);
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -100,7 +100,7 @@
             restores: state.leadership.restores.get(),
             orders: RefCell::new(Assignments::inherited(
                 clock::now(),
-                &state.ordered.borrow(),
+                &state.ordered_layers.borrow(),
             )),
             accepted: RefCell::default(),
             planned: RefCell::default(),
@@ -184,7 +184,7 @@
         self.is_over.set(true);
         // Gossip reports the vacancy at once, even during an outage of the store.
         self.state.leadership.own.set(None);
-        self.state.is_news.notify_waiters();
+        self.state.urgent_report.notify_waiters();
         let Authority::Lease(lease) = self.authority else {
             return;
         };
@@ -242,13 +242,13 @@
                 }
             }
             if !self.state.roster.borrow().is_store_away() {
-                self.state.told.borrow_mut().clear();
+                self.state.reported_layers.borrow_mut().clear();
             }
             let roster = self.state.roster.borrow();
-            let mut told = self.state.told.borrow_mut();
+            let mut told = self.state.reported_layers.borrow_mut();
             told.retain(|server, _| roster.get(server).is_some());
         }
-        self.state.told.borrow_mut().clear();
+        self.state.reported_layers.borrow_mut().clear();
     }
 
     /// Returns the servers to ask: all while the store is unavailable, otherwise the slow ones.
@@ -302,7 +302,7 @@
         for (server, layers, duration) in orders.settle(now, held) {
             log::info!("event=order-shown server={server} layers={layers} took_ms={duration}");
         }
-        self.state.ordered.replace(orders.accepted());
+        self.state.ordered_layers.replace(orders.accepted());
         let servers = roster.usable().filter(|server| server.service == *service);
         let servers = servers.filter(|server| engine.has(server.held));
         let holders = servers.filter_map(|server| {
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -79,12 +79,12 @@
     /// The failure rates of backend servers.
     pub outliers: RefCell<Outliers>,
     /// Notified when a crash or a refusal should be reported to the other entries at once.
-    pub is_news: tokio::sync::Notify,
+    pub urgent_report: tokio::sync::Notify,
     /// The layers that servers reported to this entry, as the planner, while the store is
     /// unavailable.
-    pub told: RefCell<BTreeMap<Incarnation, Range>>,
+    pub reported_layers: RefCell<BTreeMap<Incarnation, Range>>,
     /// The layers that the planner has ordered servers to hold, until the servers report them.
-    pub ordered: RefCell<BTreeMap<Incarnation, Range>>,
+    pub ordered_layers: RefCell<BTreeMap<Incarnation, Range>>,
     /// The retry budget, including this entry's pieces of the slack.
     pub retries: Retries,
     /// The connections to backend servers.
@@ -135,9 +135,9 @@
             suspicion: RefCell::default(),
             pulse: RefCell::new(Pulse::new(watchdog::PACE)),
             outliers: RefCell::default(),
-            is_news: tokio::sync::Notify::new(),
-            told: RefCell::default(),
-            ordered: RefCell::default(),
+            urgent_report: tokio::sync::Notify::new(),
+            reported_layers: RefCell::default(),
+            ordered_layers: RefCell::default(),
             pool: Pool::default(),
             probes: Probes::default(),
             waiting: Waiting::default(),
@@ -229,7 +229,7 @@
     pub fn refused(&self, server: &Incarnation) {
         let mut load = self.load.borrow_mut();
         if load.refusals.refused(clock::now(), server) {
-            self.is_news.notify_waiters();
+            self.urgent_report.notify_waiters();
         }
     }
 
@@ -239,7 +239,7 @@
         self.pool.forget(server);
         if fresh {
             self.load.borrow_mut().lost(clock::now(), server);
-            self.is_news.notify_waiters();
+            self.urgent_report.notify_waiters();
             self.streams.look_at(server);
             self.metrics.count("servers_suspected");
             log::info!("event=suspected server={server} cause={cause}");
--- a/crates/front/src/store_watch.rs
+++ b/crates/front/src/store_watch.rs
@@ -109,7 +109,7 @@
                 if is_lost {
                     is_lost = false;
                     state.roster.borrow_mut().store_returned(clock::now());
-                    state.told.borrow_mut().clear();
+                    state.reported_layers.borrow_mut().clear();
                     log::info!("event=store-regained");
                 }
             }
@@ -451,7 +451,10 @@
         return;
     }
     log::info!("event=reported server={server} effect={effect:?} held={held}");
-    state.told.borrow_mut().insert(server.clone(), held);
+    state
+        .reported_layers
+        .borrow_mut()
+        .insert(server.clone(), held);
     rebuild(state);
 }
 
