--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -87,13 +87,13 @@
 
 /// The scope of a report on the wire.
 #[derive(Debug, Deserialize, Serialize)]
-enum Whose {
+enum WireScope {
     Own,
     Cell(String),
     Rest,
 }
 
-impl From<&Scope> for Whose {
+impl From<&Scope> for WireScope {
     fn from(scope: &Scope) -> Self {
         match scope {
             Scope::Own => Self::Own,
@@ -103,12 +103,12 @@
     }
 }
 
-impl From<Whose> for Scope {
-    fn from(scope: Whose) -> Self {
+impl From<WireScope> for Scope {
+    fn from(scope: WireScope) -> Self {
         match scope {
-            Whose::Own => Self::Own,
-            Whose::Cell(id) => Self::Cell(Id(id.into())),
-            Whose::Rest => Self::Rest,
+            WireScope::Own => Self::Own,
+            WireScope::Cell(id) => Self::Cell(Id(id.into())),
+            WireScope::Rest => Self::Rest,
         }
     }
 }
@@ -118,7 +118,7 @@
 struct Message {
     entry: String,
     zone: String,
-    scope: Whose,
+    scope: WireScope,
     number: u16,
     last: u16,
     entries: u32,
@@ -130,7 +130,7 @@
 
 /// A decoded message.
 #[derive(Debug)]
-pub(super) struct Heard {
+pub(super) struct Received {
     /// The name of the entry that sent it.
     pub(super) entry: String,
     /// The sender's availability zone.
@@ -154,7 +154,7 @@
 
 /// The entry that sends a report.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Teller<'a> {
+pub(super) struct Sender<'a> {
     pub(super) entry: &'a str,
     pub(super) zone: &'a Zone,
 }
@@ -193,11 +193,11 @@
 ///
 /// A report that exceeds one datagram must be split, not dropped: the other entries would consider
 /// an entry dead that has the largest load of all.
-pub(super) fn encode(teller: Teller<'_>, scope: &Scope, summary: &Summary) -> Vec<Vec<u8>> {
+pub(super) fn encode(sender: Sender<'_>, scope: &Scope, summary: &Summary) -> Vec<Vec<u8>> {
     let properties = properties(summary);
     let mut portions = 1;
     loop {
-        let messages = encode_portions(teller, scope, summary, &properties, portions);
+        let messages = encode_portions(sender, scope, summary, &properties, portions);
         let fits = messages
             .iter()
             .all(|bytes| bytes.len() <= MAX_MESSAGE_BYTES);
@@ -209,7 +209,7 @@
 }
 
 fn encode_portions(
-    teller: Teller<'_>,
+    sender: Sender<'_>,
     scope: &Scope,
     summary: &Summary,
     properties: &[(WireIncarnation, Property)],
@@ -219,8 +219,8 @@
         let is_first = number == 0;
         let portion = properties.iter().skip(usize::from(number));
         let message = Message {
-            entry: teller.entry.into(),
-            zone: teller.zone.to_string(),
+            entry: sender.entry.into(),
+            zone: sender.zone.to_string(),
             scope: scope.into(),
             number,
             last: portions - 1,
@@ -243,7 +243,7 @@
 /// # Errors
 ///
 /// The message is malformed, or a number in it is not finite and would corrupt the sums.
-pub(super) fn decode(bytes: &[u8]) -> Result<Heard, Malformed> {
+pub(super) fn decode(bytes: &[u8]) -> Result<Received, Malformed> {
     let options = bincode::DefaultOptions::new().with_limit(RECEIVE_BUFFER_BYTES as u64);
     let message: Message = options
         .deserialize(bytes)
@@ -259,7 +259,7 @@
     for (server, property) in message.properties {
         insert(&mut summary, server.into(), property)?;
     }
-    Ok(Heard {
+    Ok(Received {
         entry: message.entry,
         zone: message.zone.into(),
         scope: message.scope.into(),
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -26,9 +26,9 @@
 use crate::state::State;
 use crate::store_watch;
 
-use message::Heard;
 use message::Malformed;
-use message::Teller;
+use message::Received;
+use message::Sender;
 
 pub use announce::announce;
 pub use peers::Announcement;
@@ -53,7 +53,7 @@
 /// Sends this entry's reports and receives those of others until the process ends.
 pub async fn run<D: Dialect>(state: Rc<State<D>>, socket: UdpSocket) {
     let socket = Rc::new(socket);
-    tokio::task::spawn_local(hear(state.clone(), socket.clone()));
+    tokio::task::spawn_local(receive(state.clone(), socket.clone()));
     tokio::task::spawn_local(relay(state.clone(), socket.clone()));
     let mut sent_at = clock::now();
     let mut rest_sent_at = sent_at;
@@ -72,7 +72,7 @@
             log::info!("event=outlier server={server}");
         }
         let neighbours = state.peers.directory.borrow().neighbours();
-        tell(
+        send(
             &state,
             &socket,
             &neighbours,
@@ -87,7 +87,7 @@
         rest_sent_at = sent_at;
         let rest = state.peers.board.borrow().rest(sent_at);
         if rest.entries > 0 {
-            tell(&state, &socket, &neighbours, &Scope::Rest, &rest).await;
+            send(&state, &socket, &neighbours, &Scope::Rest, &rest).await;
         }
     }
 }
@@ -110,18 +110,18 @@
         let sum = state.peers.board.borrow().cell(now, &own_report(&state));
         let scope = Scope::Cell(directory.borrow().home().clone());
         let targets = directory.borrow_mut().targets(now);
-        tell(&state, &socket, &targets, &scope, &sum).await;
+        send(&state, &socket, &targets, &scope, &sum).await;
     }
 }
 
-async fn tell<D>(
+async fn send<D>(
     state: &State<D>,
     socket: &UdpSocket,
     addresses: &[SocketAddr],
     scope: &Scope,
     summary: &Summary,
 ) {
-    let sender = Teller {
+    let sender = Sender {
         entry: &state.settings.name,
         zone: &state.settings.zone,
     };
@@ -172,18 +172,18 @@
     rows.map(|(server, row)| (server.clone(), row)).collect()
 }
 
-async fn hear<D: Dialect>(state: Rc<State<D>>, socket: Rc<UdpSocket>) {
+async fn receive<D: Dialect>(state: Rc<State<D>>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; message::RECEIVE_BUFFER_BYTES];
     loop {
-        let received: io::Result<(usize, SocketAddr)> = socket.recv_from(&mut buffer).await;
-        let Ok((length, address)) = received else {
+        let datagram: io::Result<(usize, SocketAddr)> = socket.recv_from(&mut buffer).await;
+        let Ok((length, address)) = datagram else {
             // An ICMP error for an earlier datagram: a peer's port is closed. The next datagram may
             // come from another entry.
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         };
         match message::decode(&buffer[..length]) {
-            Ok(heard) => handle(&state, address, heard),
+            Ok(received) => handle(&state, address, received),
             Err(Malformed::Encoding) => state.metrics.count("gossip_malformed"),
             Err(Malformed::NotFinite) => state.metrics.count("gossip_senseless"),
         }
@@ -191,16 +191,16 @@
 }
 
 /// Handles a received message.
-fn handle<D: Dialect>(state: &Rc<State<D>>, address: SocketAddr, heard: Heard) {
+fn handle<D: Dialect>(state: &Rc<State<D>>, address: SocketAddr, received: Received) {
     let now = clock::now();
-    let entry: Arc<str> = heard.entry.into();
-    let zone = heard.zone;
-    let summary = heard.summary;
+    let entry: Arc<str> = received.entry.into();
+    let zone = received.zone;
+    let summary = received.summary;
     let mut directory = state.peers.directory.borrow_mut();
     directory.heard(now, &entry, Place { zone, address });
     drop(directory);
-    if heard.portion.number == 0 {
-        record_planner(state, address, &heard.scope, &summary);
+    if received.portion.number == 0 {
+        record_planner(state, address, &received.scope, &summary);
     }
     let mut load = state.load.borrow_mut();
     for (server, duration) in &summary.full {
@@ -211,7 +211,7 @@
     }
     drop(load);
     let mut board = state.peers.board.borrow_mut();
-    board.hear(now, entry, heard.scope, heard.portion, summary);
+    board.hear(now, entry, received.scope, received.portion, summary);
     drop(board);
     if now.since(state.peers.aggregated_at.get()) >= AGGREGATE_INTERVAL {
         aggregate(state);
