--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -194,7 +194,7 @@
             load.asked(at, server, report.slowness);
         }
         Err(error) => {
-            state.accuse(server, &format!("{error:#}").replace(' ', "-"));
+            state.suspect(server, &format!("{error:#}").replace(' ', "-"));
             note_refusal(state, server, &error);
         }
     }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -234,7 +234,7 @@
     }
 
     /// Suspects a backend server.
-    pub fn accuse(&self, server: &Incarnation, cause: &str) {
+    pub fn suspect(&self, server: &Incarnation, cause: &str) {
         let fresh = self.suspicion.borrow_mut().accuse(clock::now(), server);
         self.pool.forget(server);
         if fresh {
--- a/crates/front/src/store_watch.rs
+++ b/crates/front/src/store_watch.rs
@@ -42,7 +42,7 @@
 const ALL_KEYS: &str = "";
 /// How much shorter one call waits than the time without faults after which the time limits apply.
 ///
-/// A watch that began while the store delivered no changes may hear nothing for its whole wait
+/// A watch that began while the store delivered no changes may report no changes for its whole wait
 /// although all other calls succeed. The next call must be answered before the time limits apply
 /// again. A store that becomes silent altogether is detected by the renewals of this entry's lease.
 const WAIT_MARGIN: Span = Span(1_000);
@@ -483,7 +483,7 @@
     for replaced in state.roster.borrow_mut().take_replaced() {
         // Streams through the old incarnation switch paths at once instead of waiting for a
         // timeout.
-        state.accuse(&replaced, "restarted");
+        state.suspect(&replaced, "restarted");
     }
     state.roster_changed.notify_waiters();
 }
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -132,7 +132,7 @@
         match failure {
             Failure::NotSent(_) => {
                 if let Some(first) = first {
-                    state.accuse(&first.server, "not-sent");
+                    state.suspect(&first.server, "not-sent");
                 }
                 continue;
             }
--- a/crates/front/src/whole.rs
+++ b/crates/front/src/whole.rs
@@ -214,7 +214,7 @@
             Failure::NotSent(_) => {
                 self.sent -= 1;
                 self.arrivals -= 1;
-                self.state.accuse(&server.incarnation, "not-sent");
+                self.state.suspect(&server.incarnation, "not-sent");
             }
             Failure::NotRun { .. } => {
                 self.sent -= 1;
