--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -153,7 +153,7 @@
     let ordered = ordered.iter().filter(|_| token.is_some());
     Summary {
         entries: 1,
-        served: u64::from(!state.is_store_away()),
+        served: u64::from(!state.is_store_unavailable()),
         ready: state.is_ready().then_some(address),
         planner: token.map(|token| (token, address)),
         used: cloned(load.own().map(|(server, used)| (server, *used))),
--- a/crates/front/src/gossip/peers.rs
+++ b/crates/front/src/gossip/peers.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether the store answers none of the other entries.
-    pub fn is_store_away(&self) -> bool {
+    pub fn is_store_unavailable(&self) -> bool {
         outage::is_for_all(outage::Word {
             known: self.count().saturating_sub(1),
             heard: self.reachable.get(),
--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -124,7 +124,7 @@
 }
 
 fn become_deputy<D>(state: &State<D>) -> Option<Holder> {
-    if !state.is_store_away_for_all() {
+    if !state.is_store_unavailable_to_all() {
         return None;
     }
     let (now, own) = (clock::now(), state.settings.gossip);
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -150,7 +150,7 @@
             return false;
         }
         if state.roster.borrow().is_store_away() {
-            return state.is_store_away_for_all();
+            return state.is_store_unavailable_to_all();
         }
         let returned = state.roster.borrow().returned();
         let is_lapsing = returned.is_some_and(|returned| now.since(returned) <= LEASE_TTL);
@@ -169,7 +169,7 @@
         }
         let is_authorized =
             self.authority == Authority::Deputy || self.lease.get().may_order(clock::now());
-        is_authorized || self.state.is_store_away_for_all()
+        is_authorized || self.state.is_store_unavailable_to_all()
     }
 
     /// Returns whether a restored store may have lost this term's lease, so that another entry may
@@ -215,7 +215,7 @@
                     log::info!("event=lease-not-renewed cause={cause}");
                     let held = self.lease.get();
                     let has_lapsed = clock::now().since(held.renewed) > held.ttl;
-                    if has_lapsed && !self.state.is_store_away_for_all() {
+                    if has_lapsed && !self.state.is_store_unavailable_to_all() {
                         self.is_over.set(true);
                         self.state.leadership.is_held.set(false);
                     }
--- a/crates/front/src/slack.rs
+++ b/crates/front/src/slack.rs
@@ -99,7 +99,8 @@
     let shortfall = shortfall(state, service).min(MAX_PIECES_PER_CALL);
     let tenure = state.retries.reserve.borrow().tenure();
     let is_marked = !state.settling.get().lacks_mark();
-    let Some(tenure) = tenure.filter(|_| shortfall > 0 && is_marked && !state.is_store_away())
+    let Some(tenure) =
+        tenure.filter(|_| shortfall > 0 && is_marked && !state.is_store_unavailable())
     else {
         return false;
     };
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -188,13 +188,13 @@
     ///
     /// This includes an entry that starts during an outage. Counting it as connected would stop the
     /// other entries from continuing without the store after each restart.
-    pub fn is_store_away(&self) -> bool {
+    pub fn is_store_unavailable(&self) -> bool {
         !self.registered.get() || self.roster.borrow().is_store_away()
     }
 
     /// Returns whether the store is unavailable to all entries, as far as this entry knows.
-    pub fn is_store_away_for_all(&self) -> bool {
-        self.is_store_away() && self.peers.is_store_away()
+    pub fn is_store_unavailable_to_all(&self) -> bool {
+        self.is_store_unavailable() && self.peers.is_store_unavailable()
     }
 
     /// Returns the address of a registered backend server.
