--- a/crates/front/src/gossip/announce.rs
+++ b/crates/front/src/gossip/announce.rs
@@ -124,7 +124,7 @@
 
 /// Cancels the pending watch so that it is made again: it may never be answered.
 fn cancel_watch<D>(state: &State<D>, event: &str, error: &Error) {
-    state.store_doubted.notify_waiters();
+    state.store_call_failed.notify_waiters();
     let cause = error.to_string().replace(' ', "-");
     log::info!("event={event} cause={cause}");
 }
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -143,7 +143,7 @@
     arrived: Instant,
 ) -> Result<Admitted, Reason> {
     let table = state.table().ok_or(Reason::Starting)?;
-    if !state.registered.get() {
+    if !state.registrations_read.get() {
         return Err(Reason::Starting);
     }
     if state.lifecycle.get() == Lifecycle::Closing {
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -65,7 +65,7 @@
     /// The values in the store that could not be decoded, already logged.
     pub malformed: Malformed,
     /// Whether the registrations have been read at least once.
-    pub registered: Cell<bool>,
+    pub registrations_read: Cell<bool>,
     /// The servers of each model that paths are chosen from.
     pub fleets: RefCell<BTreeMap<Service, Rc<Fleet>>>,
     /// The models with layers that no server holds.
@@ -102,7 +102,7 @@
     /// The stage of a graceful shutdown.
     pub lifecycle: Cell<Lifecycle>,
     /// Notified when a call to the store has failed or timed out.
-    pub store_doubted: tokio::sync::Notify,
+    pub store_call_failed: tokio::sync::Notify,
     /// What is known about the planner.
     pub leadership: Leadership,
     /// The number of requests in flight.
@@ -128,7 +128,7 @@
             roster: RefCell::default(),
             settling: Cell::default(),
             malformed: Malformed::default(),
-            registered: Cell::new(false),
+            registrations_read: Cell::new(false),
             fleets: RefCell::default(),
             gaps: Gaps::default(),
             load: RefCell::default(),
@@ -144,7 +144,7 @@
             streams: Streams::default(),
             metrics: Metrics::default(),
             lifecycle: Cell::default(),
-            store_doubted: tokio::sync::Notify::new(),
+            store_call_failed: tokio::sync::Notify::new(),
             leadership: Leadership::default(),
             in_flight: Cell::new(0),
             roster_changed: tokio::sync::Notify::new(),
@@ -158,7 +158,7 @@
 
     /// Returns whether callers may be sent to this entry.
     pub fn is_ready(&self) -> bool {
-        let known = self.table.borrow().is_some() && self.registered.get();
+        let known = self.table.borrow().is_some() && self.registrations_read.get();
         known && self.lifecycle.get() == Lifecycle::Serving
     }
 
@@ -189,7 +189,7 @@
     /// This includes an entry that starts during an outage. Counting it as connected would stop the
     /// other entries from continuing without the store after each restart.
     pub fn is_store_unavailable(&self) -> bool {
-        !self.registered.get() || self.roster.borrow().is_store_away()
+        !self.registrations_read.get() || self.roster.borrow().is_store_away()
     }
 
     /// Returns whether the store is unavailable to all entries, as far as this entry knows.
--- a/crates/front/src/store_watch.rs
+++ b/crates/front/src/store_watch.rs
@@ -90,7 +90,7 @@
         };
         let step = tokio::select! {
             step = step => step,
-            () = state.store_doubted.notified() => Err(Error::Unknown("lease-not-renewed".into())),
+            () = state.store_call_failed.notified() => Err(Error::Unknown("lease-not-renewed".into())),
             () = store.risen(era) => Ok(None),
         };
         let (previous, current) = (era, store.era());
@@ -181,7 +181,7 @@
     state: &State<D>,
     store: &F,
 ) -> Result<Option<Revision>, Error> {
-    let (changes, revision) = if state.registered.get() {
+    let (changes, revision) = if state.registrations_read.get() {
         state.metrics.count("store_reads");
         store.snapshot(ALL_KEYS).await?
     } else {
@@ -231,7 +231,7 @@
             "event=registration server={server} effect={effect:?} held={held} revision={revision}"
         );
     }
-    state.registered.set(true);
+    state.registrations_read.set(true);
     state.leadership.set_held(is_held);
     let mut reserve = state.retries.reserve.borrow_mut();
     reserve.replaced(&pieces, revision);
@@ -470,7 +470,7 @@
     );
     let roster = state.roster.borrow();
     *state.fleets.borrow_mut() = fleet::build(&table, &roster);
-    if state.registered.get() {
+    if state.registrations_read.get() {
         state
             .gaps
             .log(clock::now(), &state.fleets.borrow(), &state.metrics);
