--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -33,7 +33,7 @@
     /// The address of the store.
     pub store: SocketAddr,
     /// How soon changes in the store must take effect.
-    pub fresh: Freshness,
+    pub limits: StoreLimits,
     /// The retry budget of all entries together.
     pub retry: Terms,
     /// Logging.
@@ -44,7 +44,7 @@
 
 /// How soon changes in the store must take effect.
 #[derive(Clone, Copy, Debug)]
-pub struct Freshness {
+pub struct StoreLimits {
     /// How long a VM must have been free of faults for the time limits to apply.
     pub contact: Span,
     /// The time limit for applying a configuration or a server's drain.
@@ -58,7 +58,7 @@
     ///
     /// The file cannot be read, or settings are invalid; one line per invalid setting.
     pub fn read(path: &Path) -> Result<Self> {
-        Self::take(File::open(path)?, path)
+        Self::from_file(File::open(path)?, path)
     }
 
     /// Validates parsed settings.
@@ -75,20 +75,20 @@
     /// let text = "[entry]\nname = a\nzone = z\nlisten = 127.0.0.1:1\nready = 127.0.0.1:2\n\
     ///             metrics = 127.0.0.1:3\ngossip = 127.0.0.1:5\n[store]\naddress = 127.0.0.1:4\n";
     /// let file = File::parse("test.ini", text)?;
-    /// let settings = Settings::take(file, "test.ini".as_ref())?;
+    /// let settings = Settings::from_file(file, "test.ini".as_ref())?;
     /// assert_eq!(settings.stop.as_secs(), 8);
     /// # Ok::<(), anyhow::Error>(())
     /// ```
-    pub fn take(mut file: File, path: &Path) -> Result<Self> {
+    pub fn from_file(mut file: File, path: &Path) -> Result<Self> {
         let telemetry = settings::telemetry(&mut file);
-        let (store, fresh) = file.section("store", |section| {
+        let (store, limits) = file.section("store", |section| {
             let apply = section.number("apply_ms", Some(2_000));
             let leave = section.number("leave_ms", Some(2_000));
-            let fresh = Freshness {
+            let limits = StoreLimits {
                 contact: Span(section.number("contact_ms", Some(3_000))),
                 apply: Span(apply.min(leave)),
             };
-            (section.address("address"), fresh)
+            (section.address("address"), limits)
         });
         let retry = file.section("retry", |section| Terms {
             ratio: section.value("ratio", "retries per request, such as 0.2", Some(0.2)),
@@ -104,7 +104,7 @@
             gossip: section.address("gossip"),
             stop: Duration::from_secs(section.number("stop_seconds", Some(8))),
             store,
-            fresh,
+            limits,
             retry,
             telemetry,
             file: path.into(),
--- a/crates/front/src/store_watch.rs
+++ b/crates/front/src/store_watch.rs
@@ -132,7 +132,7 @@
 
 /// Returns how long one call waits for changes.
 fn wait_time<D>(state: &State<D>) -> Span {
-    let contact = state.settings.fresh.contact;
+    let contact = state.settings.limits.contact;
     Span(contact.0.saturating_sub(WAIT_MARGIN.0)).max(MIN_WAIT)
 }
 
@@ -286,7 +286,7 @@
 /// Returns the pause after an answer with changes, in which further changes accumulate.
 fn pause_after<D>(state: &State<D>, changes: &[Change]) -> Span {
     let is_of_entry = |change: &Change| change.key.starts_with(ENTRY_KEYS);
-    let apply = state.settings.fresh.apply;
+    let apply = state.settings.limits.apply;
     let usual = Span(apply.0 / PAUSE_DIVISOR);
     let pause = match changes.iter().all(is_of_entry) {
         true => usual.max(Span(apply.0.saturating_sub(CALL_RESERVE.0))),
