--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -35,7 +35,7 @@
     /// The request's path.
     pub path: HeaderName,
     /// The request's priority at the engine.
-    pub rank: HeaderName,
+    pub priority: HeaderName,
     /// The signature of the backend server on its response.
     pub signature: HeaderName,
     /// Set by the backend server when it has not run the request.
@@ -69,9 +69,9 @@
     /// How many orders it has accepted.
     pub orders: u64,
     /// KV memory in use, in tokens times layers.
-    pub used: f64,
+    pub kv_used: f64,
     /// KV memory capacity, in tokens times layers.
-    pub room: f64,
+    pub kv_capacity: f64,
     /// The layers that it holds, if reported.
     pub held: Option<Range>,
     /// The slowdown compared with normal speed, as a factor.
--- a/crates/front/src/head.rs
+++ b/crates/front/src/head.rs
@@ -46,7 +46,7 @@
         names.expected_server,
         names.expected_weights,
         names.path,
-        names.rank,
+        names.priority,
         names.deadline,
         names.not_run,
         names.signature,
