--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -55,11 +55,11 @@
 impl Gaps {
     /// Logs each gap that has opened, changed or closed.
     pub fn log(&self, now: Instant, fleets: &BTreeMap<Service, Rc<Fleet>>, metrics: &Metrics) {
-        let mut known = self.0.borrow_mut();
-        known.retain(|service, _| fleets.contains_key(service));
+        let mut gaps = self.0.borrow_mut();
+        gaps.retain(|service, _| fleets.contains_key(service));
         for (service, fleet) in fleets {
             let layers = fleet.missing();
-            let previous = known.get(service);
+            let previous = gaps.get(service);
             if previous.map_or(layers.is_empty(), |gap| gap.layers == layers) {
                 continue;
             }
@@ -67,7 +67,7 @@
             let duration = now.since(since);
             if layers.is_empty() {
                 log::info!("event=layers-whole service={service} after_ms={duration}");
-                known.remove(service);
+                gaps.remove(service);
                 continue;
             }
             if previous.is_none() {
@@ -79,7 +79,7 @@
                 missing.join(","),
                 fleet.nodes.len()
             );
-            known.insert(service.clone(), Gap { layers, since });
+            gaps.insert(service.clone(), Gap { layers, since });
         }
     }
 }
--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -88,7 +88,7 @@
         }
         let changed = state.leadership.changed.notified();
         let pause = Duration::from_millis(rand::random_range(300..700));
-        let _either = tokio::time::timeout(pause, changed).await;
+        let _changed_or_timeout = tokio::time::timeout(pause, changed).await;
         tokio::time::sleep(campaign_delay(&state)).await;
     }
 }
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -40,7 +40,7 @@
 const SETTLE_TIME: Span = Span(700);
 const _: () = assert!(
     SETTLE_TIME.0 > store_watch::MAX_PLANNER_PAUSE.0,
-    "registrations are not quiet between two looks at them"
+    "the settle time must exceed the planner's pause between two calls"
 );
 /// How long a server that joined empty waits for the drain of the server that it replaces, which
 /// usually follows within a second.
@@ -113,7 +113,7 @@
         }
         tokio::task::spawn_local(self.clone().poll_servers());
         let mut quiet_since = clock::now();
-        let mut known = 0;
+        let mut last_count = 0;
         while !self.is_over.get() {
             if self.state.lifecycle.get() != Lifecycle::Serving {
                 self.resign().await;
@@ -124,10 +124,10 @@
                 break;
             }
             let changed = self.state.roster_changed.notified();
-            let _either = tokio::time::timeout(CHECK_INTERVAL, changed).await;
+            let _changed_or_timeout = tokio::time::timeout(CHECK_INTERVAL, changed).await;
             let count = self.state.roster.borrow().usable().count();
-            if count != known {
-                known = count;
+            if count != last_count {
+                last_count = count;
                 quiet_since = clock::now();
             }
             if self.may_order() {
@@ -245,8 +245,8 @@
                 self.state.reported_layers.borrow_mut().clear();
             }
             let roster = self.state.roster.borrow();
-            let mut told = self.state.reported_layers.borrow_mut();
-            told.retain(|server, _| roster.get(server).is_some());
+            let mut layers = self.state.reported_layers.borrow_mut();
+            layers.retain(|server, _| roster.get(server).is_some());
         }
         self.state.reported_layers.borrow_mut().clear();
     }
--- a/crates/front/src/reload.rs
+++ b/crates/front/src/reload.rs
@@ -26,7 +26,7 @@
         }
     };
     let path = state.settings.file.clone();
-    let mut known = std::fs::read(&path).unwrap_or_default();
+    let mut previous = std::fs::read(&path).unwrap_or_default();
     loop {
         let is_signalled = tokio::time::timeout(CHECK_INTERVAL, hangup.recv())
             .await
@@ -38,10 +38,10 @@
                 continue;
             }
         };
-        if !is_signalled && text == known {
+        if !is_signalled && text == previous {
             continue;
         }
-        known = text;
+        previous = text;
         match Settings::read(&path) {
             Ok(settings) => apply(&state, &settings, is_signalled),
             Err(error) => {
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -158,8 +158,8 @@
 
     /// Returns whether callers may be sent to this entry.
     pub fn is_ready(&self) -> bool {
-        let known = self.table.borrow().is_some() && self.registrations_read.get();
-        known && self.lifecycle.get() == Lifecycle::Serving
+        let is_initialized = self.table.borrow().is_some() && self.registrations_read.get();
+        is_initialized && self.lifecycle.get() == Lifecycle::Serving
     }
 
     /// Acquires a retry for a request; `None` if the retry budget is exhausted.
@@ -199,7 +199,10 @@
 
     /// Returns the address of a registered backend server.
     pub fn address(&self, server: &Incarnation) -> Option<SocketAddr> {
-        self.roster.borrow().get(server).map(|known| known.address)
+        self.roster
+            .borrow()
+            .get(server)
+            .map(|server| server.address)
     }
 
     /// Returns the assumed state of a backend server.
--- a/crates/front/src/store_watch.rs
+++ b/crates/front/src/store_watch.rs
@@ -40,7 +40,7 @@
 const ENTRY_KEYS: &str = "jujube/";
 /// The empty prefix: one watch covers the configuration, the registrations and the planner's lease.
 const ALL_KEYS: &str = "";
-/// How much shorter one call waits than the time without faults after which the time limits apply.
+/// How much shorter one call waits than the fault-free time after which the time limits apply.
 ///
 /// A watch that began while the store delivered no changes may report no changes for its whole wait
 /// although all other calls succeed. The next call must be answered before the time limits apply
@@ -51,8 +51,8 @@
 /// The wait of one call after the connection to the store was lost, short so that the recovery is
 /// noticed even if nothing changes.
 const WAIT_AFTER_LOSS: Span = Span(300);
-/// The share of the time limit that passes between an answer with changes and the next call.
-/// Changes come in bursts, and every entry pays for each call.
+/// The fraction of the time limit, as a divisor, that passes between an answer with changes and the
+/// next call. Changes come in bursts, and every entry pays for each call.
 const PAUSE_DIVISOR: u64 = 4;
 /// The part of the time limit reserved for the next call after an answer that contained only keys
 /// of entries. Such changes may wait longer than a configuration. A slow store answers within a
@@ -73,8 +73,8 @@
     let mut is_lost = false;
     loop {
         if state.roster.borrow().is_to_be_read(clock::now()) {
-            // Running servers have registered again by now; entries of dead servers from the backup
-            // are absent from a new snapshot.
+            // Running servers have registered again by now; a new snapshot no longer contains
+            // the dead ones of the backup.
             after = None;
         }
         let wait = if is_lost {
@@ -426,8 +426,8 @@
 /// configuration.
 fn apply_configuration<D: Dialect>(state: &State<D>, document: Document) {
     let version = document.version;
-    let known = state.table().map(|table| table.document.version);
-    if known.is_some_and(|known| known >= version) {
+    let current = state.table().map(|table| table.document.version);
+    if current.is_some_and(|current| current >= version) {
         return;
     }
     log::info!(
