--- a/crates/front/src/fleet.rs
+++ b/crates/front/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of each model, rebuilt from the registrations when they change.
+//! The fleet of each model, rebuilt whenever the registrations change.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 
 use crate::metrics::Metrics;
 
-/// Returns the fleets of all models in a configuration.
+/// Builds the fleet of each model in a configuration.
 pub fn build(table: &Table, roster: &Roster) -> BTreeMap<Service, Rc<Fleet>> {
     let services = table.document.services.iter();
     let models = services.filter_map(|(service, backend)| Some((service, backend.model.as_ref()?)));
@@ -45,40 +45,41 @@
     since: Instant,
 }
 
-/// The models with layers that no server holds, for logs.
+/// The models with layers that no server holds, for logging.
 ///
-/// Requests are refused for want of a path then, and only the layers without a holder tell why.
+/// While a model has a gap, its requests are refused because no path exists; these log lines say
+/// which layers are the cause.
 #[derive(Default)]
 pub struct Gaps(RefCell<BTreeMap<Service, Gap>>);
 
 impl Gaps {
-    /// Logs the gaps that have opened, changed or closed.
+    /// Logs each gap that has opened, changed or closed.
     pub fn log(&self, now: Instant, fleets: &BTreeMap<Service, Rc<Fleet>>, metrics: &Metrics) {
-        let mut known = self.0.borrow_mut();
-        known.retain(|service, _| fleets.contains_key(service));
+        let mut gaps = self.0.borrow_mut();
+        gaps.retain(|service, _| fleets.contains_key(service));
         for (service, fleet) in fleets {
             let layers = fleet.uncovered_layers();
-            let before = known.get(service);
-            if before.map_or(layers.is_empty(), |gap| gap.layers == layers) {
+            let previous = gaps.get(service);
+            if previous.map_or(layers.is_empty(), |gap| gap.layers == layers) {
                 continue;
             }
-            let since = before.map_or(now, |gap| gap.since);
-            let lasts = now.since(since);
+            let since = previous.map_or(now, |gap| gap.since);
+            let duration = now.since(since);
             if layers.is_empty() {
-                log::info!("event=layers-whole service={service} after_ms={lasts}");
-                known.remove(service);
+                log::info!("event=layers-whole service={service} after_ms={duration}");
+                gaps.remove(service);
                 continue;
             }
-            if before.is_none() {
+            if previous.is_none() {
                 metrics.count("layer_gaps");
             }
             let missing: Vec<String> = layers.iter().map(Range::to_string).collect();
             log::warn!(
-                "event=layers-missing service={service} layers={} servers={} since_ms={lasts}",
+                "event=layers-missing service={service} layers={} servers={} since_ms={duration}",
                 missing.join(","),
                 fleet.candidates.len()
             );
-            known.insert(service.clone(), Gap { layers, since });
+            gaps.insert(service.clone(), Gap { layers, since });
         }
     }
 }
--- a/crates/front/src/gossip/announce.rs
+++ b/crates/front/src/gossip/announce.rs
@@ -1,4 +1,5 @@
-//! This entry's announcement in the store, by which the others find it, and the lease of all that it holds there.
+//! This entry's announcement in the store, by which other entries find it, and the lease that
+//! covers all its keys there.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,34 +19,37 @@
 use super::Announcement;
 use super::ENTRIES;
 
-/// How often the lease is renewed. The renewal is also how a store that has fallen silent is noticed, within
-/// the three seconds after which a change must not be missed; it costs a tenth of another call.
-const RENEW: Duration = Duration::from_millis(1_300);
-/// How long a renewal may take; a slow store takes a third of a second.
-const ANSWER: Duration = Duration::from_millis(800);
-/// How long after a failure to announce or to renew it is tried again.
-const AGAIN: Duration = Duration::from_millis(700);
+/// How often the lease is renewed. A failed renewal is also how a silent store is detected, within
+/// the three seconds after which no change may be missed.
+const RENEW_INTERVAL: Duration = Duration::from_millis(1_300);
+/// How long a renewal may take; a slow store answers within a third of a second.
+const RENEW_TIMEOUT: Duration = Duration::from_millis(800);
+/// The pause before a failed announcement or renewal is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// Announces this entry in the store until the process ends.
+/// Keeps this entry announced in the store until the process ends.
 pub async fn announce<D, F: Feed>(state: Rc<State<D>>, store: F) {
     loop {
-        match take(&state, &store).await {
-            Ok(Some(lease)) => keep(&state, &store, lease).await,
+        match write_announcement(&state, &store).await {
+            Ok(Some(lease)) => renew(&state, &store, lease).await,
             Ok(None) => log::info!("event=not-announced cause=written-by-another"),
-            Err(error) => doubt(&state, "not-announced", &error),
+            Err(error) => cancel_watch(&state, "not-announced", &error),
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Announces this entry and returns the lease; `None` when somebody else wrote meanwhile.
+/// Announces this entry and returns the lease; `None` if another writer interfered.
 ///
-/// The write holds only if the key is as it was read, at most starts not there. A write under an earlier lease
-/// whose answer was lost, and that is carried out late, would otherwise replace this one and take the key with it
-/// when that lease ends.
-async fn take<D, F: Feed>(state: &State<D>, store: &F) -> Result<Option<Lease>, Error> {
+/// The write is conditional on the revision that was read, and at first on the key's absence.
+/// Otherwise a delayed write under an earlier lease could replace the announcement and remove the
+/// key when that lease expires.
+async fn write_announcement<D, F: Feed>(
+    state: &State<D>,
+    store: &F,
+) -> Result<Option<Lease>, Error> {
     let key = format!("{ENTRIES}{}", state.settings.name);
-    let began = clock::now();
+    let started_at = clock::now();
     let lease = store.grant(state.retries.lease).await?;
     let tenure = LeaseId(lease.0.unsigned_abs());
     let announcement = Announcement {
@@ -57,21 +61,21 @@
     };
     let write = Write::Put {
         key: key.clone(),
-        value: announcement.text(),
+        value: announcement.encode(),
         lease: Some(lease),
     };
     let mut revision = Revision::default();
-    let is_there = |revision| Condition {
+    let at = |revision| Condition {
         key: key.clone(),
         revision,
     };
     if !store
-        .swap(&[is_there(revision)], std::slice::from_ref(&write))
+        .swap(&[at(revision)], std::slice::from_ref(&write))
         .await?
     {
-        let pair = store.get(&key).await?;
-        revision = pair.map_or(Revision::default(), |pair| pair.revision);
-        if !store.swap(&[is_there(revision)], &[write]).await? {
+        let current = store.get(&key).await?;
+        revision = current.map_or(Revision::default(), |current| current.revision);
+        if !store.swap(&[at(revision)], &[write]).await? {
             return Ok(None);
         }
     }
@@ -79,7 +83,7 @@
         return Ok(None);
     };
     state.retries.announced.set(written.revision);
-    state.retries.reserve.borrow_mut().begun(tenure, began);
+    state.retries.reserve.borrow_mut().begun(tenure, started_at);
     log::info!(
         "event=announced lease={tenure} revision={}",
         written.revision
@@ -87,27 +91,27 @@
     Ok(Some(lease))
 }
 
-/// Renews the lease until it has ended, or another announcement of this entry took the place of this one.
-async fn keep<D, F: Feed>(state: &State<D>, store: &F, lease: Lease) {
-    let mut pause = RENEW;
+/// Renews the lease until it has expired or this announcement has been replaced.
+async fn renew<D, F: Feed>(state: &State<D>, store: &F, lease: Lease) {
+    let mut pause = RENEW_INTERVAL;
     loop {
         tokio::time::sleep(pause).await;
-        let asked = clock::now();
-        let renewal = tokio::time::timeout(ANSWER, store.renew(lease)).await;
+        let sent_at = clock::now();
+        let renewal = tokio::time::timeout(RENEW_TIMEOUT, store.renew(lease)).await;
         let renewal = renewal.unwrap_or_else(|_| Err(Error::Unknown("timeout".into())));
         let mut reserve = state.retries.reserve.borrow_mut();
         pause = match renewal {
             Ok(true) => {
-                reserve.renewed(asked);
-                RENEW
+                reserve.renewed(sent_at);
+                RENEW_INTERVAL
             }
             Ok(false) => {
                 reserve.lost();
-                AGAIN
+                RETRY_PAUSE
             }
             Err(error) => {
-                doubt(state, "not-renewed", &error);
-                AGAIN
+                cancel_watch(state, "not-renewed", &error);
+                RETRY_PAUSE
             }
         };
         reserve.expire(clock::now());
@@ -118,9 +122,9 @@
     }
 }
 
-/// Has the call made again that waits for changes: it may wait in vain.
-fn doubt<D>(state: &State<D>, event: &str, error: &Error) {
-    state.store_doubted.notify_waiters();
+/// Cancels the pending watch so that it is made again: it may never be answered.
+fn cancel_watch<D>(state: &State<D>, event: &str, error: &Error) {
+    state.store_call_failed.notify_waiters();
     let cause = error.to_string().replace(' ', "-");
     log::info!("event={event} cause={cause}");
 }
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -1,4 +1,4 @@
-//! What entries tell one another.
+//! The gossip message format.
 
 use std::net::SocketAddr;
 
@@ -18,22 +18,22 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The most bytes of one message. The sum over a hundred entries before a hundred servers takes some 8 kB; a larger
-/// datagram would hold a link of 20 Mbit/s for longer than a question to a server may.
-const MOST_BYTES: usize = 16_000;
-/// The most that is received of one message.
-pub(super) const BUFFER: usize = 65_536;
-/// The most portions of a word: six hundred times what a hundred servers need.
-const MOST_PORTIONS: u16 = 1_024;
+/// The maximum size of one message in bytes. A report of a hundred entries on a hundred servers
+/// takes some 8 kB; a larger datagram could delay probes on a link of 20 Mbit/s.
+const MAX_MESSAGE_BYTES: usize = 16_000;
+/// The size of the receive buffer.
+pub(super) const RECEIVE_BUFFER_BYTES: usize = 65_536;
+/// The maximum number of portions of a report, far more than a hundred servers need.
+const MAX_PORTIONS: u16 = 1_024;
 
-/// One start of a server.
+/// The wire form of an incarnation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-struct Start {
+struct WireIncarnation {
     server: String,
     born: Option<u64>,
 }
 
-impl From<&Incarnation> for Start {
+impl From<&Incarnation> for WireIncarnation {
     fn from(incarnation: &Incarnation) -> Self {
         Self {
             server: incarnation.server.to_string(),
@@ -42,58 +42,58 @@
     }
 }
 
-impl From<Start> for Incarnation {
-    fn from(start: Start) -> Self {
-        Self::new(start.server.into(), start.born.map(StartTime))
+impl From<WireIncarnation> for Incarnation {
+    fn from(incarnation: WireIncarnation) -> Self {
+        Self::new(incarnation.server.into(), incarnation.born.map(StartTime))
     }
 }
 
-/// What entries know of one server.
+/// One reported property of a server.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-enum Fact {
-    /// What is in flight.
-    Used { tokens: f32, requests: u32 },
-    /// How requests ended.
-    Ended { good: f32, bad: f32 },
-    /// How many times slower than usual it says it is.
-    Slow(f32),
-    /// It refuses requests, and for how many milliseconds more that is believed.
-    Full(u32),
-    /// So many entries suspect it.
+enum Property {
+    /// Its load from requests in flight.
+    Load { tokens: f32, requests: u32 },
+    /// The outcomes of its requests.
+    Outcomes { succeeded: f32, failed: f32 },
+    /// Its slowdown as a factor.
+    Slowdown(f32),
+    /// It refuses requests, and this is assumed for so many milliseconds more.
+    Refusing(u32),
+    /// The number of entries that suspect it.
     Suspected(u32),
-    /// It told the planner that it holds these layers, while the store is away.
-    Holds { start: u32, end: u32 },
-    /// It was ordered to hold these layers.
+    /// The layers that it reported to the planner while the store was unavailable.
+    Held { start: u32, end: u32 },
+    /// The layers that it was ordered to hold.
     Ordered { start: u32, end: u32 },
 }
 
-impl From<&Usage> for Fact {
+impl From<&Usage> for Property {
     fn from(used: &Usage) -> Self {
-        Self::Used {
+        Self::Load {
             tokens: used.tokens as f32,
             requests: used.requests as u32,
         }
     }
 }
 
-impl From<&Tally> for Fact {
+impl From<&Tally> for Property {
     fn from(tally: &Tally) -> Self {
-        Self::Ended {
-            good: tally.succeeded as f32,
-            bad: tally.failed as f32,
+        Self::Outcomes {
+            succeeded: tally.succeeded as f32,
+            failed: tally.failed as f32,
         }
     }
 }
 
-/// Of whom a word is.
+/// The scope of a report on the wire.
 #[derive(Debug, Deserialize, Serialize)]
-enum Whose {
+enum WireScope {
     Own,
     Cell(String),
     Rest,
 }
 
-impl From<&Scope> for Whose {
+impl From<&Scope> for WireScope {
     fn from(scope: &Scope) -> Self {
         match scope {
             Scope::Own => Self::Own,
@@ -103,122 +103,125 @@
     }
 }
 
-impl From<Whose> for Scope {
-    fn from(whose: Whose) -> Self {
-        match whose {
-            Whose::Own => Self::Own,
-            Whose::Cell(id) => Self::Cell(Id(id.into())),
-            Whose::Rest => Self::Rest,
+impl From<WireScope> for Scope {
+    fn from(scope: WireScope) -> Self {
+        match scope {
+            WireScope::Own => Self::Own,
+            WireScope::Cell(id) => Self::Cell(Id(id.into())),
+            WireScope::Rest => Self::Rest,
         }
     }
 }
 
-/// One message: a word, or a portion of one.
+/// One message: a report or a portion of one.
 #[derive(Debug, Deserialize, Serialize)]
 struct Message {
     entry: String,
     zone: String,
-    whose: Whose,
+    scope: WireScope,
     number: u16,
     last: u16,
     entries: u32,
     served: u32,
     ready: Option<SocketAddr>,
     planner: Option<(u64, SocketAddr)>,
-    facts: Vec<(Start, Fact)>,
+    properties: Vec<(WireIncarnation, Property)>,
 }
 
-/// A message as it was heard.
+/// A decoded message.
 #[derive(Debug)]
-pub(super) struct Heard {
-    /// Who told it.
+pub(super) struct Received {
+    /// The name of the entry that sent it.
     pub(super) entry: String,
-    /// The teller's availability zone.
+    /// The sender's availability zone.
     pub(super) zone: Zone,
-    /// Of whom it is.
+    /// The scope of the report.
     pub(super) scope: Scope,
-    /// Which portion of the word it is.
+    /// The portion of the report that this message contains.
     pub(super) portion: Fragment,
-    /// What it says.
+    /// The content.
     pub(super) summary: Summary,
 }
 
-/// Why a message was not understood.
+/// Why a message was rejected.
 #[derive(Debug)]
 pub(super) enum Malformed {
     /// It cannot be decoded.
     Encoding,
-    /// A figure is negative or none.
-    Figure,
+    /// A number in it is not finite.
+    NotFinite,
 }
 
-/// Who tells a word.
+/// The entry that sends a report.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Teller<'a> {
+pub(super) struct Sender<'a> {
     pub(super) entry: &'a str,
     pub(super) zone: &'a Zone,
 }
 
-fn facts(summary: &Summary) -> Vec<(Start, Fact)> {
-    let mut facts: Vec<(Start, Fact)> = Vec::new();
-    let mut add = |server: &Incarnation, fact: Fact| facts.push((server.into(), fact));
-    for (server, used) in &summary.usage {
-        add(server, used.into());
+fn properties(summary: &Summary) -> Vec<(WireIncarnation, Property)> {
+    let mut properties: Vec<(WireIncarnation, Property)> = Vec::new();
+    let mut add =
+        |server: &Incarnation, property: Property| properties.push((server.into(), property));
+    for (server, usage) in &summary.usage {
+        add(server, usage.into());
     }
     for (server, tally) in &summary.outcomes {
         add(server, tally.into());
     }
     for (server, slowness) in &summary.slowness {
-        add(server, Fact::Slow(*slowness as f32));
+        add(server, Property::Slowdown(*slowness as f32));
     }
-    for (server, lasts) in &summary.refusing {
-        add(server, Fact::Full(lasts.0 as u32));
+    for (server, duration) in &summary.refusing {
+        add(server, Property::Refusing(duration.0 as u32));
     }
     for (server, entries) in &summary.suspects {
-        add(server, Fact::Suspected(*entries as u32));
+        add(server, Property::Suspected(*entries as u32));
     }
     for (server, layers) in &summary.held {
         let (start, end) = (layers.start, layers.end);
-        add(server, Fact::Holds { start, end });
+        add(server, Property::Held { start, end });
     }
     for (server, layers) in &summary.ordered {
         let (start, end) = (layers.start, layers.end);
-        add(server, Fact::Ordered { start, end });
+        add(server, Property::Ordered { start, end });
     }
-    facts
+    properties
 }
 
-/// Encodes a word in as many messages as it needs.
+/// Encodes a report in as many messages as it needs.
 ///
-/// A word that grew over one datagram was left out before: others would take an entry for gone whose load is the
-/// largest of all.
-pub(super) fn encode(teller: Teller<'_>, scope: &Scope, summary: &Summary) -> Vec<Vec<u8>> {
-    let facts = facts(summary);
+/// A report that exceeds one datagram must be split, not dropped: the other entries would consider
+/// an entry dead that has the largest load of all.
+pub(super) fn encode(sender: Sender<'_>, scope: &Scope, summary: &Summary) -> Vec<Vec<u8>> {
+    let properties = properties(summary);
     let mut portions = 1;
     loop {
-        let messages = portioned(teller, scope, summary, &facts, portions);
-        let is_short = messages.iter().all(|bytes| bytes.len() <= MOST_BYTES);
-        if is_short || portions >= MOST_PORTIONS {
+        let messages = encode_portions(sender, scope, summary, &properties, portions);
+        let fits = messages
+            .iter()
+            .all(|bytes| bytes.len() <= MAX_MESSAGE_BYTES);
+        if fits || portions >= MAX_PORTIONS {
             return messages;
         }
         portions *= 2;
     }
 }
 
-fn portioned(
-    teller: Teller<'_>,
+fn encode_portions(
+    sender: Sender<'_>,
     scope: &Scope,
     summary: &Summary,
-    facts: &[(Start, Fact)],
+    properties: &[(WireIncarnation, Property)],
     portions: u16,
 ) -> Vec<Vec<u8>> {
     let messages = (0..portions).filter_map(|number| {
         let is_first = number == 0;
-        let own = facts.iter().skip(usize::from(number));
+        let portion = properties.iter().skip(usize::from(number));
         let message = Message {
-            entry: teller.entry.into(),
-            zone: teller.zone.to_string(),
-            whose: scope.into(),
+            entry: sender.entry.into(),
+            zone: sender.zone.to_string(),
+            scope: scope.into(),
             number,
             last: portions - 1,
             entries: if is_first { summary.entries as u32 } else { 0 },
@@ -232,7 +235,7 @@
                 .planner
                 .filter(|_| is_first)
                 .map(|(token, at)| (token.0, at)),
-            facts: own.step_by(usize::from(portions)).cloned().collect(),
+            properties: portion.step_by(usize::from(portions)).cloned().collect(),
         };
         bincode::DefaultOptions::new().serialize(&message).ok()
     });
@@ -243,9 +246,9 @@
 ///
 /// # Errors
 ///
-/// It is none, or a figure in it would spoil the sums.
-pub(super) fn decode(bytes: &[u8]) -> Result<Heard, Malformed> {
-    let options = bincode::DefaultOptions::new().with_limit(BUFFER as u64);
+/// The message is malformed, or a number in it is not finite and would corrupt the sums.
+pub(super) fn decode(bytes: &[u8]) -> Result<Received, Malformed> {
+    let options = bincode::DefaultOptions::new().with_limit(RECEIVE_BUFFER_BYTES as u64);
     let message: Message = options
         .deserialize(bytes)
         .map_err(|_| Malformed::Encoding)?;
@@ -257,13 +260,13 @@
         planner,
         ..Summary::default()
     };
-    for (server, fact) in message.facts {
-        take(&mut summary, server.into(), fact)?;
+    for (server, property) in message.properties {
+        insert(&mut summary, server.into(), property)?;
     }
-    Ok(Heard {
+    Ok(Received {
         entry: message.entry,
         zone: message.zone.into(),
-        scope: message.whose.into(),
+        scope: message.scope.into(),
         portion: Fragment {
             number: message.number,
             last: message.last,
@@ -272,45 +275,45 @@
     })
 }
 
-fn take(summary: &mut Summary, server: Incarnation, fact: Fact) -> Result<(), Malformed> {
-    match fact {
-        Fact::Used { tokens, requests } => {
+fn insert(summary: &mut Summary, server: Incarnation, property: Property) -> Result<(), Malformed> {
+    match property {
+        Property::Load { tokens, requests } => {
             let used = Usage {
-                tokens: figure(tokens)?,
+                tokens: finite(tokens)?,
                 requests: u64::from(requests),
             };
             summary.usage.insert(server, used);
         }
-        Fact::Ended { good, bad } => {
+        Property::Outcomes { succeeded, failed } => {
             let tally = Tally {
-                succeeded: figure(good)?,
-                failed: figure(bad)?,
+                succeeded: finite(succeeded)?,
+                failed: finite(failed)?,
             };
             summary.outcomes.insert(server, tally);
         }
-        Fact::Slow(slowness) => {
-            summary.slowness.insert(server, figure(slowness)?);
+        Property::Slowdown(slowness) => {
+            summary.slowness.insert(server, finite(slowness)?);
         }
-        Fact::Full(lasts) => {
-            summary.refusing.insert(server, Span(u64::from(lasts)));
+        Property::Refusing(duration) => {
+            summary.refusing.insert(server, Span(u64::from(duration)));
         }
-        Fact::Suspected(entries) => {
+        Property::Suspected(entries) => {
             summary.suspects.insert(server, u64::from(entries));
         }
-        Fact::Holds { start, end } => {
+        Property::Held { start, end } => {
             summary.held.insert(server, Range::new(start, end));
         }
-        Fact::Ordered { start, end } => {
+        Property::Ordered { start, end } => {
             summary.ordered.insert(server, Range::new(start, end));
         }
     }
     Ok(())
 }
 
-/// Checks a figure that is added to others; rounding leaves sums a little below zero.
-fn figure(told: f32) -> Result<f64, Malformed> {
-    if !told.is_finite() {
-        return Err(Malformed::Figure);
+/// Validates a summand; rounding may leave differences slightly below zero.
+fn finite(value: f32) -> Result<f64, Malformed> {
+    if !value.is_finite() {
+        return Err(Malformed::NotFinite);
     }
-    Ok(f64::from(told).max(0.0))
+    Ok(f64::from(value).max(0.0))
 }
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! Entries tell one another what they have in flight and what they have found out.
+//! Gossip between entries about load, failures, suspicions and the planner.
 
 mod announce;
 mod message;
@@ -22,19 +22,19 @@
 use tokio::net::UdpSocket;
 
 use crate::dialect::Dialect;
-use crate::follow;
 use crate::probe;
 use crate::state::State;
+use crate::store_watch;
 
-use message::Heard;
 use message::Malformed;
-use message::Teller;
+use message::Received;
+use message::Sender;
 
 pub use announce::announce;
 pub use peers::Announcement;
 pub use peers::Peers;
 
-/// The start of the keys under which entries announce their addresses.
+/// The prefix of the keys under which entries announce their addresses.
 const ENTRIES: &str = "jujube/entries/";
 
 /// Returns the name of the entry whose announcement a key holds.
@@ -42,43 +42,52 @@
     key.strip_prefix(ENTRIES)
 }
 
-/// How long after it told something an entry waits before it tells urgent news. A dying server's streams make news
-/// of one death again and again; told each time by all entries at once, that filled links of 20 Mbit/s for longer
-/// than a question to a server may take, and live servers were found dead by the dozen.
-const URGENT_GAP: Span = Span(40);
-/// How often at most what others said is added up: adding a hundred rows takes some 30 microseconds, and messages
-/// come in twos and threes.
-const SUMS: Span = Span(50);
+/// The shortest interval between a report and an urgent one. The streams of a crashed server
+/// suspect it again and again; urgent reports of all entries for each of these could saturate a
+/// link of 20 Mbit/s, delay probes and make healthy servers look dead.
+const URGENT_INTERVAL: Span = Span(40);
+/// The shortest interval between two aggregations of received reports: messages arrive in bursts,
+/// and aggregating a hundred reports takes some 30 microseconds.
+const AGGREGATE_INTERVAL: Span = Span(50);
 
-/// Tells this entry's load, and hears the others', until the process ends.
+/// Sends this entry's reports and receives those of others until the process ends.
 pub async fn run<D: Dialect>(state: Rc<State<D>>, socket: UdpSocket) {
     let socket = Rc::new(socket);
-    tokio::task::spawn_local(hear(state.clone(), socket.clone()));
+    tokio::task::spawn_local(receive(state.clone(), socket.clone()));
     tokio::task::spawn_local(relay(state.clone(), socket.clone()));
-    let mut told = clock::now();
-    let mut told_rest = told;
+    let mut sent_at = clock::now();
+    let mut rest_sent_at = sent_at;
     loop {
-        let urgent = state.is_news.notified();
+        let urgent = state.urgent_report.notified();
         let is_urgent = tokio::time::timeout(millis(cell::REPORT_INTERVAL), urgent).await;
         if is_urgent.is_ok() {
-            let gap = URGENT_GAP.0.saturating_sub(clock::now().since(told).0);
+            let gap = URGENT_INTERVAL
+                .0
+                .saturating_sub(clock::now().since(sent_at).0);
             tokio::time::sleep(millis(Span(gap))).await;
         }
-        told = clock::now();
-        sum_up(&state);
-        for server in state.outliers.borrow_mut().evaluate(told) {
+        sent_at = clock::now();
+        aggregate(&state);
+        for server in state.outliers.borrow_mut().evaluate(sent_at) {
             log::info!("event=outlier server={server}");
         }
         let neighbours = state.peers.directory.borrow().neighbours();
-        tell(&state, &socket, &neighbours, &Scope::Own, &own(&state)).await;
-        let is_speaker = state.peers.directory.borrow().is_speaker(told);
-        if !is_speaker || told.since(told_rest) < cell::REPORT_INTERVAL {
+        send(
+            &state,
+            &socket,
+            &neighbours,
+            &Scope::Own,
+            &own_report(&state),
+        )
+        .await;
+        let is_speaker = state.peers.directory.borrow().is_speaker(sent_at);
+        if !is_speaker || sent_at.since(rest_sent_at) < cell::REPORT_INTERVAL {
             continue;
         }
-        told_rest = told;
-        let rest = state.peers.board.borrow().rest(told);
+        rest_sent_at = sent_at;
+        let rest = state.peers.board.borrow().rest(sent_at);
         if rest.entries > 0 {
-            tell(&state, &socket, &neighbours, &Scope::Rest, &rest).await;
+            send(&state, &socket, &neighbours, &Scope::Rest, &rest).await;
         }
     }
 }
@@ -87,7 +96,8 @@
     Duration::from_millis(span.0)
 }
 
-/// Tells the other cells the sum of this entry's own, while it speaks for it.
+/// Sends the sum of this cell's reports to the other cells while this entry is a speaker of its
+/// cell.
 async fn relay<D: Dialect>(state: Rc<State<D>>, socket: Rc<UdpSocket>) {
     loop {
         tokio::time::sleep(millis(cell::RELAY_INTERVAL)).await;
@@ -97,25 +107,25 @@
         if directory.borrow().cells() < 2 || !directory.borrow().is_speaker(now) {
             continue;
         }
-        let sum = state.peers.board.borrow().cell(now, &own(&state));
+        let sum = state.peers.board.borrow().cell(now, &own_report(&state));
         let scope = Scope::Cell(directory.borrow().home().clone());
         let targets = directory.borrow_mut().targets(now);
-        tell(&state, &socket, &targets, &scope, &sum).await;
+        send(&state, &socket, &targets, &scope, &sum).await;
     }
 }
 
-async fn tell<D>(
+async fn send<D>(
     state: &State<D>,
     socket: &UdpSocket,
     addresses: &[SocketAddr],
     scope: &Scope,
     summary: &Summary,
 ) {
-    let teller = Teller {
+    let sender = Sender {
         entry: &state.settings.name,
         zone: &state.settings.zone,
     };
-    let messages = message::encode(teller, scope, summary);
+    let messages = message::encode(sender, scope, summary);
     if messages.len() > 1 {
         state.metrics.count("gossip_split");
     }
@@ -123,15 +133,15 @@
         for bytes in &messages {
             state.metrics.count("gossip_sent");
             if socket.send_to(bytes, address).await.is_err() {
-                // The next word makes good what is lost.
+                // The next report makes up for the lost one.
                 state.metrics.count("gossip_not_sent");
             }
         }
     }
 }
 
-/// Returns what this entry has to tell.
-fn own<D>(state: &State<D>) -> Summary {
+/// Returns this entry's own report.
+fn own_report<D>(state: &State<D>) -> Summary {
     let load = state.load.borrow();
     let suspicion = state.suspicion.borrow();
     let outliers = state.outliers.borrow();
@@ -139,130 +149,131 @@
     let address = state.settings.gossip;
     let token = state.leadership.own();
     let suspects = suspicion.suspects().map(|server| (server.clone(), 1));
-    let ordered = state.ordered.borrow();
+    let ordered = state.ordered_layers.borrow();
     let ordered = ordered.iter().filter(|_| token.is_some());
     Summary {
         entries: 1,
-        with_store: u64::from(!state.is_store_away()),
+        with_store: u64::from(!state.is_store_unavailable()),
         ready: state.is_ready().then_some(address),
         planner: token.map(|token| (token, address)),
-        usage: owned(load.own_usage().map(|(server, used)| (server, *used))),
-        outcomes: owned(outliers.own(now)),
-        slowness: owned(load.recent_slowness(now)),
-        refusing: owned(load.refusals.own(now)),
+        usage: cloned(load.own_usage().map(|(server, usage)| (server, *usage))),
+        outcomes: cloned(outliers.own(now)),
+        slowness: cloned(load.recent_slowness(now)),
+        refusing: cloned(load.refusals.own(now)),
         suspects: suspects.collect(),
-        held: state.told.borrow().clone(),
-        ordered: owned(ordered.map(|(server, layers)| (server, *layers))),
+        held: state.reported_layers.borrow().clone(),
+        ordered: cloned(ordered.map(|(server, layers)| (server, *layers))),
     }
 }
 
-fn owned<'a, T, C: FromIterator<(Incarnation, T)>>(
+fn cloned<'a, T, C: FromIterator<(Incarnation, T)>>(
     rows: impl Iterator<Item = (&'a Incarnation, T)>,
 ) -> C {
     rows.map(|(server, row)| (server.clone(), row)).collect()
 }
 
-async fn hear<D: Dialect>(state: Rc<State<D>>, socket: Rc<UdpSocket>) {
-    let mut buffer = vec![0; message::BUFFER];
+async fn receive<D: Dialect>(state: Rc<State<D>>, socket: Rc<UdpSocket>) {
+    let mut buffer = vec![0; message::RECEIVE_BUFFER_BYTES];
     loop {
-        let received: io::Result<(usize, SocketAddr)> = socket.recv_from(&mut buffer).await;
-        let Ok((length, address)) = received else {
-            // Told by a peer's machine that nobody listens there; the next datagram is another's.
+        let datagram: io::Result<(usize, SocketAddr)> = socket.recv_from(&mut buffer).await;
+        let Ok((length, address)) = datagram else {
+            // An ICMP error for an earlier datagram: a peer's port is closed. The next datagram may
+            // come from another entry.
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         };
         match message::decode(&buffer[..length]) {
-            Ok(heard) => take(&state, address, heard),
+            Ok(received) => handle(&state, address, received),
             Err(Malformed::Encoding) => state.metrics.count("gossip_malformed"),
-            Err(Malformed::Figure) => state.metrics.count("gossip_senseless"),
+            Err(Malformed::NotFinite) => state.metrics.count("gossip_senseless"),
         }
     }
 }
 
-/// Takes what another entry tells.
-fn take<D: Dialect>(state: &Rc<State<D>>, address: SocketAddr, heard: Heard) {
+/// Handles a received message.
+fn handle<D: Dialect>(state: &Rc<State<D>>, address: SocketAddr, received: Received) {
     let now = clock::now();
-    let entry: Arc<str> = heard.entry.into();
-    let zone = heard.zone;
-    let summary = heard.summary;
+    let entry: Arc<str> = received.entry.into();
+    let zone = received.zone;
+    let summary = received.summary;
     let mut directory = state.peers.directory.borrow_mut();
     directory.heard(now, &entry, Location { zone, address });
     drop(directory);
-    if heard.portion.number == 0 {
-        take_planner(state, address, &heard.scope, &summary);
+    if received.portion.number == 0 {
+        record_planner(state, address, &received.scope, &summary);
     }
     let mut load = state.load.borrow_mut();
-    for (server, lasts) in &summary.refusing {
-        load.refusals.receive(now, server.clone(), *lasts);
+    for (server, duration) in &summary.refusing {
+        load.refusals.receive(now, server.clone(), *duration);
     }
     for (server, slowness) in &summary.slowness {
         load.record_slowness(now, server, *slowness);
     }
     drop(load);
     let mut board = state.peers.board.borrow_mut();
-    board.receive(now, entry, heard.scope, heard.portion, summary);
+    board.receive(now, entry, received.scope, received.portion, summary);
     drop(board);
-    if now.since(state.peers.summed.get()) >= SUMS {
-        sum_up(state);
+    if now.since(state.peers.aggregated_at.get()) >= AGGREGATE_INTERVAL {
+        aggregate(state);
     }
 }
 
-/// Takes a word on who gives orders. Only the entry itself can say that it gives none.
-fn take_planner<D>(state: &State<D>, teller: SocketAddr, scope: &Scope, summary: &Summary) {
+/// Records which entry is the planner. Only an entry itself can say that it is not the planner.
+fn record_planner<D>(state: &State<D>, sender: SocketAddr, scope: &Scope, summary: &Summary) {
     let now = clock::now();
     match (scope, summary.planner) {
         (_, Some((token, planner))) if planner != state.settings.gossip => {
-            state.leadership.heard_entry(now, planner, Some(token));
+            state.leadership.record_report(now, planner, Some(token));
         }
-        (Scope::Own, None) => state.leadership.heard_entry(now, teller, None),
+        (Scope::Own, None) => state.leadership.record_report(now, sender, None),
         _ => {}
     }
 }
 
-/// Adds up what the others said, and acts on it.
-fn sum_up<D: Dialect>(state: &Rc<State<D>>) {
+/// Aggregates the received reports and applies the result.
+fn aggregate<D: Dialect>(state: &Rc<State<D>>) {
     let now = clock::now();
-    state.peers.summed.set(now);
+    state.peers.aggregated_at.set(now);
     let mut board = state.peers.board.borrow_mut();
     board.expire(now);
     let others = board.others(now);
     drop(board);
     state
         .peers
-        .set(others.entries, others.with_store, others.ready);
+        .set_summary(others.entries, others.with_store, others.ready);
     let mut load = state.load.borrow_mut();
     load.set_others(others.entries, others.usage);
     drop(load);
     state.outliers.borrow_mut().set_others(others.outcomes);
     if others.planner.is_some() && state.leadership.own().is_none() {
-        state.ordered.replace(others.ordered);
+        state.ordered_layers.replace(others.ordered);
     }
     for (server, layers) in others.held {
-        learn_held(state, &server, layers);
+        apply_reported_layers(state, &server, layers);
     }
     let mut suspicion = state.suspicion.borrow_mut();
-    let doubted = suspicion.set_peer_reports(now, others.suspects);
+    let to_probe = suspicion.set_peer_reports(now, others.suspects);
     drop(suspicion);
-    for server in doubted {
-        ask(state, server);
+    for server in to_probe {
+        probe_suspect(state, server);
     }
 }
 
-/// Takes what a server told the planner that it holds.
-fn learn_held<D: Dialect>(state: &Rc<State<D>>, server: &Incarnation, layers: Range) {
+/// Applies the layers that a server reported to the planner.
+fn apply_reported_layers<D: Dialect>(state: &Rc<State<D>>, server: &Incarnation, layers: Range) {
     let mut roster = state.roster.borrow_mut();
     let effect = roster.reported(clock::now(), server, layers);
     drop(roster);
     if effect != Effect::None {
-        follow::rebuild(state);
+        store_watch::rebuild(state);
     }
 }
 
-/// Asks a server that others suspect, if requests of this entry are there.
+/// Probes a server that other entries suspect if this entry has requests in flight there.
 ///
-/// The others find out by their own requests, or prefer other servers as long as it is suspected. Asked by all, a
-/// death was a hundred questions and connections at once, and each false alarm as many.
-fn ask<D: Dialect>(state: &Rc<State<D>>, server: Incarnation) {
+/// Entries without such requests prefer other servers while it is suspected. A probe from every
+/// entry would mean a burst of probes and connections for each crash and each false alarm.
+fn probe_suspect<D: Dialect>(state: &Rc<State<D>>, server: Incarnation) {
     let is_used = state.load.borrow().has_own_requests(&server);
     if !is_used || state.suspicion.borrow().is_suspected(&server) {
         return;
--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -1,4 +1,4 @@
-//! The planner: one entry at a time places the models' layers.
+//! The planner: the one entry at a time that assigns the models' layers to servers.
 
 mod order;
 mod term;
@@ -20,107 +20,111 @@
 use crate::dialect::Dialect;
 use crate::state::State;
 
-use term::LeaseId;
+use term::Authority;
 use term::Term;
 
-/// How long the planner's lease lasts without renewal: a planner that dies is replaced within that
-/// time, while every layer still has its other holders. With half of it no more was served.
-const TTL: Span = Span(3_000);
+/// The TTL of the planner's lease. A dead planner is replaced within this time; meanwhile layers
+/// have other holders.
+const LEASE_TTL: Span = Span(3_000);
 
-/// Who is the planner, as the store and the other entries tell it.
+/// Who is the planner, according to the store and to gossip.
 #[derive(Debug, Default)]
 pub struct Leadership {
     is_held: Cell<bool>,
     changed: tokio::sync::Notify,
-    /// The number under which this entry gives orders, if it does.
+    /// The fencing token of this entry while it is the planner.
     own: Cell<Option<Token>>,
-    /// How often the store has come back from an older copy.
+    /// How often the store has been restored from an older backup.
     restores: Cell<u64>,
     election: Cell<Election>,
 }
 
 impl Leadership {
-    /// Books whether the lease is held.
-    pub fn heard(&self, is_held: bool) {
+    /// Records whether the planner's lease is held.
+    pub fn set_held(&self, is_held: bool) {
         self.is_held.set(is_held);
         if !is_held {
             self.changed.notify_waiters();
         }
     }
 
-    /// Books that the store has come back from an older copy: it may have forgotten who has the office.
+    /// Records that the store was restored from an older backup and may have lost the planner's
+    /// lease.
     pub fn restored(&self) {
         self.restores.set(self.restores.get() + 1);
         self.changed.notify_waiters();
     }
 
-    /// Returns the number under which this entry gives orders, if it does.
+    /// Returns the fencing token of this entry while it is the planner.
     pub fn own(&self) -> Option<Token> {
         self.own.get()
     }
 
-    /// Books that an order under a number was refused, since a later one was used.
+    /// Records that an order was refused because a later token has been used.
     pub fn refused(&self, token: Token) {
         let mut election = self.election.get();
         election.refused(token);
         self.election.set(election);
     }
 
-    /// Takes another entry's word on whether it is the planner.
-    pub fn heard_entry(&self, now: Instant, entry: SocketAddr, token: Option<Token>) {
+    /// Records another entry's report on whether it is the planner.
+    pub fn record_report(&self, now: Instant, entry: SocketAddr, token: Option<Token>) {
         let mut election = self.election.get();
-        let before = election.planner(now);
+        let previous = election.planner(now);
         election.heard(now, entry, token);
-        if token.is_some() && before != Some(entry) {
+        if token.is_some() && previous != Some(entry) {
             log::info!("event=planner-heard entry={entry}");
         }
         self.election.set(election);
     }
 }
 
-/// Stands for the office whenever nobody holds it, until the process ends.
+/// Campaigns for the planner's lease whenever it is free, until the process ends.
 pub async fn run<D: Dialect, F: Feed>(state: Rc<State<D>>, store: F) {
     loop {
-        if let Some(term) = begin(&state, &store).await {
+        if let Some(term) = begin_term(&state, &store).await {
             term.serve().await;
             state.leadership.own.set(None);
         }
         let changed = state.leadership.changed.notified();
         let pause = Duration::from_millis(rand::random_range(300..700));
-        let _either = tokio::time::timeout(pause, changed).await;
-        tokio::time::sleep(turn(&state)).await;
+        let _changed_or_timeout = tokio::time::timeout(pause, changed).await;
+        tokio::time::sleep(campaign_delay(&state)).await;
     }
 }
 
-/// How long an entry waits for each one before it to stand for the office, and for how many of them.
+/// The delay per entry of lower rank before this entry campaigns, and the maximum rank that counts.
 ///
-/// The store tells all entries at the same moment that the office is free, and each that stands for it makes four
-/// calls; it takes the winner some 20 ms, and half a second or more until the others hear of it.
-const TURN: Duration = Duration::from_millis(100);
-const MOST_TURNS: usize = 20;
-
-fn turn<D>(state: &State<D>) -> Duration {
-    let before = state.peers.directory.borrow().rank();
-    TURN * before.min(MOST_TURNS) as u32
+/// All entries learn at the same moment that the lease is free, and each campaign makes four calls
+/// to the store. The winner needs some 20 ms; the others learn of it half a second later or more.
+const CAMPAIGN_DELAY: Duration = Duration::from_millis(100);
+const MAX_CAMPAIGN_RANK: usize = 20;
+
+fn campaign_delay<D>(state: &State<D>) -> Duration {
+    let rank = state.peers.directory.borrow().rank();
+    CAMPAIGN_DELAY * rank.min(MAX_CAMPAIGN_RANK) as u32
 }
 
-/// Begins a term, if the office is free or this entry is to stand in.
-async fn begin<D: Dialect, F: Feed>(state: &Rc<State<D>>, store: &F) -> Option<Rc<Term<D, F>>> {
+/// Begins a term if the lease is free or this entry is to act as deputy.
+async fn begin_term<D: Dialect, F: Feed>(
+    state: &Rc<State<D>>,
+    store: &F,
+) -> Option<Rc<Term<D, F>>> {
     if !state.is_ready() {
         return None;
     }
-    let (lead, tenure) = match stand_in(state) {
-        Some(lead) => (lead, LeaseId::Deputy),
-        None => win(state, store).await?,
+    let (held, authority) = match become_deputy(state) {
+        Some(held) => (held, Authority::Deputy),
+        None => acquire_lease(state, store).await?,
     };
-    log::info!("event=planner-won token={} tenure={tenure:?}", lead.token);
+    log::info!("event=planner-won token={} tenure={authority}", held.token);
     state.metrics.count("planner_terms");
-    state.leadership.own.set(Some(lead.token));
-    Some(Rc::new(Term::new(state, store, lead, tenure)))
+    state.leadership.own.set(Some(held.token));
+    Some(Rc::new(Term::new(state, store, held, authority)))
 }
 
-fn stand_in<D>(state: &State<D>) -> Option<Holder> {
-    if !state.is_store_away_for_all() {
+fn become_deputy<D>(state: &State<D>) -> Option<Holder> {
+    if !state.is_store_unavailable_to_all() {
         return None;
     }
     let (now, own) = (clock::now(), state.settings.gossip);
@@ -129,18 +133,25 @@
     Some(Holder {
         token,
         renewed: now,
-        ttl: TTL,
+        ttl: LEASE_TTL,
     })
 }
 
-async fn win<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, LeaseId)> {
+async fn acquire_lease<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, Authority)> {
     if state.leadership.is_held.get() {
         return None;
     }
-    let least = store.era().map_or(Token(0), Token::first_of);
-    let won = orders::acquire(store, clock::now(), TTL, &state.settings.name, least).await;
-    match won {
-        Ok(won) => won.map(|(lead, lease)| (lead, LeaseId::Lease(lease))),
+    let min_token = store.era().map_or(Token(0), Token::first_of);
+    let acquired = orders::acquire(
+        store,
+        clock::now(),
+        LEASE_TTL,
+        &state.settings.name,
+        min_token,
+    )
+    .await;
+    match acquired {
+        Ok(acquired) => acquired.map(|(held, lease)| (held, Authority::Lease(lease))),
         Err(error) => {
             let cause = error.to_string().replace(' ', "-");
             log::info!("event=planner-not-won cause={cause}");
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -1,13 +1,16 @@
-//! A term of office: the lease, and what the plan asks for now.
+//! A planner's term: its authority, and the orders that the current plan requires.
 
 use std::cell::Cell;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use std::fmt;
+use std::fmt::Display;
+use std::fmt::Formatter;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use jujube_core::fence::Holder as Lead;
+use jujube_core::fence::Holder as HeldLease;
 use jujube_core::name::Service;
 use jujube_core::pipeline::assignment::Assignments;
 use jujube_core::pipeline::model::Model;
@@ -21,109 +24,125 @@
 use jujube_store::kv::Lease;
 
 use crate::dialect::Dialect;
-use crate::follow;
 use crate::probe;
-use crate::state::Phase;
+use crate::state::Lifecycle;
 use crate::state::State;
+use crate::store_watch;
 
-use super::TTL;
+use super::LEASE_TTL;
 
-/// How often it is renewed; two renewals may be lost.
-const RENEW: Duration = Duration::from_millis(900);
-/// How often the plan is looked at when nothing changes.
-const LOOK: Duration = Duration::from_millis(250);
-/// How long the registrations must have been quiet before empty servers are placed for the first
-/// time: each placed too early would be placed without knowing the others.
-const SETTLED: Span = Span(700);
+/// How often the lease is renewed; two renewals may fail.
+const RENEW_INTERVAL: Duration = Duration::from_millis(900);
+/// How often the plan is checked when nothing changes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How long the number of registrations must have been stable before empty servers are first
+/// placed, so that all of them are known.
+const SETTLE_TIME: Span = Span(700);
 const _: () = assert!(
-    SETTLED.0 > follow::GATHER_PLANNER.0,
-    "registrations are not quiet between two looks at them"
+    SETTLE_TIME.0 > store_watch::MAX_PLANNER_PAUSE.0,
+    "the settle time must exceed the planner's pause between two calls"
 );
-/// How long a server that joined empty waits for the word of the one that it replaces; in the users'
-/// releases that comes a quarter of a second to a second later.
-const JOINING: Span = Span(1_300);
-/// How often all servers are asked what they hold while the store is away.
-const ASK: Duration = Duration::from_millis(1_000);
-/// By what right a term is served.
+/// How long a server that joined empty waits for the drain of the server that it replaces, which
+/// usually follows within a second.
+const JOIN_DELAY: Span = Span(1_300);
+/// How often servers are asked for the layers they hold while the store is unavailable.
+const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// The source of a planner's authority.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum LeaseId {
-    /// The lease in the store.
+pub(super) enum Authority {
+    /// The planner's lease in the store.
     Lease(Lease),
-    /// The planner is gone and the store can make no other.
+    /// The planner is gone, and the store cannot elect another.
     Deputy,
 }
 
-/// A term of office.
+/// The text of `tenure=` in logs.
+impl Display for Authority {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Lease(lease) => write!(f, "Lease(Lease({}))", lease.0),
+            Self::Deputy => write!(f, "Deputy"),
+        }
+    }
+}
+
+/// A planner's term.
 pub(super) struct Term<D, F> {
     pub(super) state: Rc<State<D>>,
     pub(super) store: F,
-    pub(super) lead: Cell<Lead>,
-    pub(super) tenure: LeaseId,
+    pub(super) lease: Cell<HeldLease>,
+    pub(super) authority: Authority,
     pub(super) is_over: Cell<bool>,
-    /// How often the store had come back from an older copy when the term began.
+    /// How often the store had been restored when the term began.
     restores: u64,
     pub(super) orders: RefCell<Assignments>,
-    /// How many orders each server is known to have taken.
-    pub(super) taken: RefCell<BTreeMap<Incarnation, u64>>,
-    /// What the last plan of each model was made from. Planning takes some milliseconds, in which
-    /// no event is passed on, and the same holders give the same plan.
+    /// The number of orders that each server is known to have accepted.
+    pub(super) accepted: RefCell<BTreeMap<Incarnation, u64>>,
+    /// The input of the last plan of each model. Planning blocks the event loop for some
+    /// milliseconds, and the same input gives the same plan.
     pub(super) planned: RefCell<BTreeMap<Service, Vec<Holder>>>,
 }
 
 impl<D: Dialect, F: Feed> Term<D, F> {
-    pub(super) fn new(state: &Rc<State<D>>, store: &F, lead: Lead, tenure: LeaseId) -> Self {
+    pub(super) fn new(
+        state: &Rc<State<D>>,
+        store: &F,
+        lease: HeldLease,
+        authority: Authority,
+    ) -> Self {
         Self {
             state: state.clone(),
             store: store.clone(),
-            lead: Cell::new(lead),
-            tenure,
+            lease: Cell::new(lease),
+            authority,
             is_over: Cell::new(false),
             restores: state.leadership.restores.get(),
             orders: RefCell::new(Assignments::inherited(
                 clock::now(),
-                &state.ordered.borrow(),
+                &state.ordered_layers.borrow(),
             )),
-            taken: RefCell::default(),
+            accepted: RefCell::default(),
             planned: RefCell::default(),
         }
     }
 
     pub(super) async fn serve(self: &Rc<Self>) {
-        if let LeaseId::Lease(lease) = self.tenure {
+        if let Authority::Lease(lease) = self.authority {
             tokio::task::spawn_local(self.clone().renew(lease));
         }
-        tokio::task::spawn_local(self.clone().watch_holders());
+        tokio::task::spawn_local(self.clone().poll_servers());
         let mut quiet_since = clock::now();
-        let mut known = 0;
+        let mut last_count = 0;
         while !self.is_over.get() {
-            if self.state.phase.get() != Phase::Serving {
+            if self.state.lifecycle.get() != Lifecycle::Serving {
                 self.resign().await;
                 break;
             }
-            let is_needless = self.tenure == LeaseId::Deputy && !self.is_needed();
-            if is_needless || self.is_forgotten() {
+            let is_redundant = self.authority == Authority::Deputy && !self.is_needed();
+            if is_redundant || self.may_be_lost() {
                 break;
             }
             let changed = self.state.roster_changed.notified();
-            let _either = tokio::time::timeout(LOOK, changed).await;
+            let _changed_or_timeout = tokio::time::timeout(CHECK_INTERVAL, changed).await;
             let count = self.state.roster.borrow().usable().count();
-            if count != known {
-                known = count;
+            if count != last_count {
+                last_count = count;
                 quiet_since = clock::now();
             }
             if self.may_order() {
-                let is_settled = clock::now().since(quiet_since) >= SETTLED;
-                self.look(is_settled);
+                let is_settled = clock::now().since(quiet_since) >= SETTLE_TIME;
+                self.plan(is_settled);
             }
         }
         self.is_over.set(true);
-        log::info!("event=planner-lost token={}", self.lead.get().token);
+        log::info!("event=planner-lost token={}", self.lease.get().token);
     }
 
-    /// Tells whether a deputy is still needed.
+    /// Returns whether a deputy is still needed.
     ///
-    /// The store is back some seconds before the lease of the planner that is gone has run out; until
-    /// then nobody else can have the office. A planner that is heard again has it, or another deputy.
+    /// The store recovers some seconds before the lease of the lost planner expires, and until then
+    /// no other entry can acquire it. A deputy stops when another planner or deputy is heard from.
     fn is_needed(&self) -> bool {
         let now = clock::now();
         let state = &self.state;
@@ -131,44 +150,46 @@
             return false;
         }
         if state.roster.borrow().is_store_away() {
-            return state.is_store_away_for_all();
+            return state.is_store_unavailable_to_all();
         }
         let returned = state.roster.borrow().returned();
-        let is_lapsing = returned.is_some_and(|returned| now.since(returned) <= TTL);
+        let is_lapsing = returned.is_some_and(|returned| now.since(returned) <= LEASE_TTL);
         state.leadership.is_held.get() && is_lapsing
     }
 
-    /// Tells whether orders may be given.
+    /// Returns whether orders may be given.
     ///
-    /// While the store answers nobody, no other planner can be made, and what dies would stay unmended
-    /// until it is back: this one goes on, under the fencing number that is still the highest. An entry
-    /// that the store serves may have been made planner, so one such entry ends this.
+    /// While the store is unavailable to all entries, no other planner can be elected, and lost
+    /// layers would stay without a holder. This planner then continues under its fencing token,
+    /// which is still the highest. It stops once any entry can reach the store, because that entry
+    /// may have become planner.
     pub(super) fn may_order(&self) -> bool {
-        if self.is_forgotten() {
+        if self.may_be_lost() {
             return false;
         }
-        let is_office_open =
-            self.tenure == LeaseId::Deputy || self.lead.get().may_order(clock::now());
-        is_office_open || self.state.is_store_away_for_all()
+        let is_authorized =
+            self.authority == Authority::Deputy || self.lease.get().may_order(clock::now());
+        is_authorized || self.state.is_store_unavailable_to_all()
     }
 
-    /// Tells whether the store may have forgotten this term, so that another entry may have the office as well.
-    fn is_forgotten(&self) -> bool {
+    /// Returns whether a restored store may have lost this term's lease, so that another entry may
+    /// hold it too.
+    fn may_be_lost(&self) -> bool {
         self.restores != self.state.leadership.restores.get()
     }
 
-    /// Hands the office on before this process stops: else nobody places layers until the lease has
-    /// run out.
+    /// Gives up the planner's role before this process stops; otherwise layers would not be placed
+    /// until the lease has expired.
     async fn resign(&self) {
         self.is_over.set(true);
-        // The others hear at once that the office is free, also where the store does not.
+        // Gossip reports the vacancy at once, even during an outage of the store.
         self.state.leadership.own.set(None);
-        self.state.is_news.notify_waiters();
-        let LeaseId::Lease(lease) = self.tenure else {
+        self.state.urgent_report.notify_waiters();
+        let Authority::Lease(lease) = self.authority else {
             return;
         };
         match self.store.revoke(lease).await {
-            Ok(()) => log::info!("event=planner-resigned token={}", self.lead.get().token),
+            Ok(()) => log::info!("event=planner-resigned token={}", self.lease.get().token),
             Err(error) => {
                 let cause = error.to_string().replace(' ', "-");
                 log::info!("event=planner-not-resigned cause={cause}");
@@ -178,23 +199,23 @@
 
     async fn renew(self: Rc<Self>, lease: Lease) {
         while !self.is_over.get() {
-            tokio::time::sleep(RENEW).await;
+            tokio::time::sleep(RENEW_INTERVAL).await;
             let sent = clock::now();
             match self.store.renew(lease).await {
                 Ok(true) => {
-                    let mut lead = self.lead.get();
-                    lead.renewed = sent;
-                    self.lead.set(lead);
+                    let mut held = self.lease.get();
+                    held.renewed = sent;
+                    self.lease.set(held);
                 }
                 Ok(false) => self.is_over.set(true),
-                // An outage of the store: no orders once the lease may have ended, and whoever
-                // finds it free when the store is back begins a new term.
+                // The store is unavailable. Orders stop once the lease may have expired; after the
+                // recovery, any entry that finds it free begins a new term.
                 Err(error) => {
                     let cause = error.to_string().replace(' ', "-");
                     log::info!("event=lease-not-renewed cause={cause}");
-                    let lead = self.lead.get();
-                    let has_lapsed = clock::now().since(lead.renewed) > lead.ttl;
-                    if has_lapsed && !self.state.is_store_away_for_all() {
+                    let held = self.lease.get();
+                    let has_lapsed = clock::now().since(held.renewed) > held.ttl;
+                    if has_lapsed && !self.state.is_store_unavailable_to_all() {
                         self.is_over.set(true);
                         self.state.leadership.is_held.set(false);
                     }
@@ -203,35 +224,35 @@
         }
     }
 
-    /// Asks every server what it holds while the store, which would tell, is away, and those that are slow
-    /// how slow they still are.
+    /// Asks servers for the layers they hold while the store, the usual source, is unavailable, and
+    /// slow servers for their current slowdown.
     ///
-    /// The others are not asked: how fast they are shows in the streams that fall behind, and each question
-    /// is paid for. Asking all once a second was a third of all questions, and served no more.
-    async fn watch_holders(self: Rc<Self>) {
+    /// Other servers are not asked, because requests cost bandwidth: a slowdown shows in streams
+    /// that fall behind.
+    async fn poll_servers(self: Rc<Self>) {
         while !self.is_over.get() {
-            tokio::time::sleep(ASK).await;
-            for (server, address) in self.doubtful() {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            for (server, address) in self.servers_to_poll() {
                 if let Ok(report) = probe::report(&self.state, &server, address).await {
                     if let Some(held) = report.held {
-                        follow::take_held(&self.state, &server, held);
+                        store_watch::apply_reported_layers(&self.state, &server, held);
                     }
                     let mut load = self.state.load.borrow_mut();
                     load.record_direct_slowness(clock::now(), &server, report.slowness);
                 }
             }
             if !self.state.roster.borrow().is_store_away() {
-                self.state.told.borrow_mut().clear();
+                self.state.reported_layers.borrow_mut().clear();
             }
             let roster = self.state.roster.borrow();
-            let mut told = self.state.told.borrow_mut();
-            told.retain(|server, _| roster.get(server).is_some());
+            let mut layers = self.state.reported_layers.borrow_mut();
+            layers.retain(|server, _| roster.get(server).is_some());
         }
-        self.state.told.borrow_mut().clear();
+        self.state.reported_layers.borrow_mut().clear();
     }
 
-    /// Returns the servers to ask: those that are slow, and all of them while the store is away.
-    fn doubtful(&self) -> Vec<(Incarnation, SocketAddr)> {
+    /// Returns the servers to ask: all while the store is unavailable, otherwise the slow ones.
+    fn servers_to_poll(&self) -> Vec<(Incarnation, SocketAddr)> {
         let roster = self.state.roster.borrow();
         let load = self.state.load.borrow();
         let now = clock::now();
@@ -245,8 +266,8 @@
         engines.collect()
     }
 
-    /// Gives the orders that the plan asks for now.
-    fn look(self: &Rc<Self>, is_settled: bool) {
+    /// Gives the orders that the current plan requires.
+    fn plan(self: &Rc<Self>, is_settled: bool) {
         let Some(table) = self.state.table() else {
             return;
         };
@@ -255,19 +276,19 @@
                 continue;
             };
             let holders = self.holders(service, model);
-            let is_first = holders.iter().all(|holder| holder.assigned.is_empty());
-            if is_first && !is_settled {
+            let is_empty = holders.iter().all(|holder| holder.assigned.is_empty());
+            if is_empty && !is_settled {
                 continue;
             }
             let last = self
                 .planned
                 .borrow_mut()
                 .insert(service.clone(), holders.clone());
-            if last.is_some_and(|last| is_same_to_plan(&last, &holders)) {
+            if last.is_some_and(|last| is_same_input(&last, &holders)) {
                 continue;
             }
             for order in placement::plan(model, &holders) {
-                self.give(order);
+                self.start_order(order);
             }
         }
     }
@@ -278,10 +299,10 @@
         let load = self.state.load.borrow();
         let now = clock::now();
         let held = |server: &Incarnation| roster.get(server).map(|server| server.held);
-        for (server, layers, took) in orders.settle(now, held) {
-            log::info!("event=order-shown server={server} layers={layers} took_ms={took}");
+        for (server, layers, duration) in orders.settle(now, held) {
+            log::info!("event=order-shown server={server} layers={layers} took_ms={duration}");
         }
-        self.state.ordered.replace(orders.accepted());
+        self.state.ordered_layers.replace(orders.accepted());
         let servers = roster.usable().filter(|server| server.service == *service);
         let servers = servers.filter(|server| model.contains(server.held));
         let holders = servers.filter_map(|server| {
@@ -291,7 +312,7 @@
             let age = roster.age(now, &server.incarnation).unwrap_or_default();
             let phase = match order {
                 Some(order) => order.phase(now, requests, model, orders.len()),
-                None if server.held.is_empty() && age < JOINING => Work::Joining,
+                None if server.held.is_empty() && age < JOIN_DELAY => Work::Joining,
                 None => Work::Settled,
             };
             Some(Holder {
@@ -317,8 +338,9 @@
     }
 }
 
-/// Tells whether a plan would be made from the same; how much passes decides only who moves, not whether anybody is to.
-fn is_same_to_plan(before: &[Holder], now: &[Holder]) -> bool {
+/// Returns whether two inputs give the same plan; the numbers of requests affect only which servers
+/// move, not whether any do.
+fn is_same_input(before: &[Holder], now: &[Holder]) -> bool {
     let without_requests = |holders: &[Holder]| -> Vec<Holder> {
         let holders = holders.iter().cloned();
         holders
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -25,7 +25,7 @@
 use crate::body::Body;
 use crate::dialect::Dialect;
 use crate::head;
-use crate::state::Phase;
+use crate::state::Lifecycle;
 use crate::state::State;
 use crate::stream;
 use crate::upstream::Outgoing;
@@ -94,7 +94,7 @@
         Ok(admitted) => admitted,
         Err(reason) => return refuse(&state, &id, reason, arrived),
     };
-    state.retries.request(&admitted.service);
+    state.retries.record_request(&admitted.service);
     let is_model = state
         .table()
         .is_some_and(|table| table.model(&admitted.service).is_some());
@@ -143,10 +143,10 @@
     arrived: Instant,
 ) -> Result<Admitted, Reason> {
     let table = state.table().ok_or(Reason::Starting)?;
-    if !state.registered.get() {
+    if !state.registrations_read.get() {
         return Err(Reason::Starting);
     }
-    if state.phase.get() == Phase::Closing {
+    if state.lifecycle.get() == Lifecycle::Closing {
         return Err(Reason::Stopping);
     }
     let host = head::text(request.headers(), &HOST).ok_or(Reason::Malformed)?;
@@ -163,7 +163,7 @@
         .clone();
     let mut headers = parts.headers;
     head::strip(&mut headers);
-    head::disown::<D>(&mut headers);
+    head::remove_reserved::<D>(&mut headers);
     if let Some(account) = &account {
         head::set(&mut headers, D::NAMES.customer, &account.customer.0);
     }
--- a/crates/front/src/settings.rs
+++ b/crates/front/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry.
+//! The settings file of an entry.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,56 +16,56 @@
 /// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The name of this entry, for logs and for the planner's lease.
+    /// The name of this entry, used in logs and in the store.
     pub name: Arc<str>,
     /// Its availability zone.
     pub zone: Zone,
-    /// Where callers call.
+    /// The address for callers.
     pub listen: SocketAddr,
-    /// Where the platform asks whether callers may be sent here.
+    /// The address for the platform's readiness checks.
     pub ready: SocketAddr,
-    /// Where counters and histograms are served.
+    /// The address that serves metrics.
     pub metrics: SocketAddr,
-    /// Where other entries tell this one what they have in flight.
+    /// The address for gossip with other entries.
     pub gossip: SocketAddr,
-    /// How long after a request to stop the process is killed.
+    /// How long after a termination signal the platform kills the process.
     pub stop: Duration,
-    /// The store.
+    /// The address of the store.
     pub store: SocketAddr,
-    /// How soon what is written to the store must be in force.
-    pub fresh: Freshness,
-    /// What the retry budget allows over all entries.
+    /// How soon changes in the store must take effect.
+    pub limits: StoreLimits,
+    /// The retry budget of all entries together.
     pub retry: Policy,
-    /// Logs.
+    /// Logging.
     pub telemetry: Telemetry,
-    /// The file that the settings came from.
+    /// The path of the settings file.
     pub file: Arc<Path>,
 }
 
-/// How soon what is written to the store must be in force.
+/// How soon changes in the store must take effect.
 #[derive(Clone, Copy, Debug)]
-pub struct Freshness {
-    /// How long a VM must have been without trouble for its delays to count.
+pub struct StoreLimits {
+    /// How long a VM must have been free of faults for the time limits to apply.
     pub contact: Span,
-    /// Within what time a configuration, or the word that a server leaves, must be in force.
+    /// The time limit for applying a configuration or a server's drain.
     pub apply: Span,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or a setting is wrong; one line for each fault.
+    /// The file cannot be read, or settings are invalid; one line per invalid setting.
     pub fn read(path: &Path) -> Result<Self> {
-        Self::take(File::open(path)?, path)
+        Self::from_file(File::open(path)?, path)
     }
 
-    /// Checks settings that were read.
+    /// Validates parsed settings.
     ///
     /// # Errors
     ///
-    /// A setting is wrong; one line for each fault.
+    /// Settings are invalid; one line per invalid setting.
     ///
     /// # Examples
     ///
@@ -75,20 +75,20 @@
     /// let text = "[entry]\nname = a\nzone = z\nlisten = 127.0.0.1:1\nready = 127.0.0.1:2\n\
     ///             metrics = 127.0.0.1:3\ngossip = 127.0.0.1:5\n[store]\naddress = 127.0.0.1:4\n";
     /// let file = File::parse("test.ini", text)?;
-    /// let settings = Settings::take(file, "test.ini".as_ref())?;
+    /// let settings = Settings::from_file(file, "test.ini".as_ref())?;
     /// assert_eq!(settings.stop.as_secs(), 8);
     /// # Ok::<(), anyhow::Error>(())
     /// ```
-    pub fn take(mut file: File, path: &Path) -> Result<Self> {
+    pub fn from_file(mut file: File, path: &Path) -> Result<Self> {
         let telemetry = settings::telemetry(&mut file);
-        let (store, fresh) = file.section("store", |section| {
+        let (store, limits) = file.section("store", |section| {
             let apply = section.number("apply_ms", Some(2_000));
             let leave = section.number("leave_ms", Some(2_000));
-            let fresh = Freshness {
+            let limits = StoreLimits {
                 contact: Span(section.number("contact_ms", Some(3_000))),
                 apply: Span(apply.min(leave)),
             };
-            (section.address("address"), fresh)
+            (section.address("address"), limits)
         });
         let retry = file.section("retry", |section| Policy {
             ratio: section.value("ratio", "retries per request, such as 0.2", Some(0.2)),
@@ -104,7 +104,7 @@
             gossip: section.address("gossip"),
             stop: Duration::from_secs(section.number("stop_seconds", Some(8))),
             store,
-            fresh,
+            limits,
             retry,
             telemetry,
             file: path.into(),
--- a/crates/front/src/slack.rs
+++ b/crates/front/src/slack.rs
@@ -1,4 +1,4 @@
-//! The pieces of the retry budget's slack in the store: taken when they are needed, given back later.
+//! Acquires and returns pieces of the retry slack in the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,31 +19,32 @@
 use crate::restore;
 use crate::state::State;
 
-/// The start of the keys of pieces; the service and the number follow.
-const PIECES_PER_SERVICE: &str = "jujube/slack/";
-/// The most pieces of one call: a transaction takes 32 rows, and each piece has a condition and a write.
-const MOST_AT_ONCE: usize = 12;
-/// How often pieces are looked after when nobody asks for any.
-const LOOK: Duration = Duration::from_millis(2_000);
-/// How often while requests wait for retries: others may have taken the pieces that were asked for, or have given
-/// some back.
-const LOOK_AWAITED: Duration = Duration::from_millis(200);
-/// How long after pieces were asked for more are asked for: as long as the store usually takes for both, some
-/// times over, so that the need that is known by then is served with few calls.
-const AGAIN: Duration = Duration::from_millis(40);
+/// The prefix of the keys of pieces; the service and the piece's number follow.
+const KEY_PREFIX: &str = "jujube/slack/";
+/// The most pieces per transaction, which takes 32 rows: each piece needs a condition and a write.
+const MAX_PIECES_PER_CALL: usize = 12;
+/// How often pieces are checked when nothing asks for any.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2_000);
+/// How often pieces are checked while requests wait for retries: other entries may have won the
+/// requested pieces or returned some.
+const CHECK_INTERVAL_WAITING: Duration = Duration::from_millis(200);
+/// The pause between two acquisitions, several times the store's usual response time: demand that
+/// arrives meanwhile is served by one call.
+const ACQUIRE_PAUSE: Duration = Duration::from_millis(40);
 
-/// Returns the piece that a key is of.
-pub fn piece(key: &str) -> Option<(Service, Piece)> {
-    let (service, piece) = key.strip_prefix(PIECES_PER_SERVICE)?.rsplit_once('/')?;
+/// Returns the service and the piece that a key belongs to.
+pub fn parse_key(key: &str) -> Option<(Service, Piece)> {
+    let (service, piece) = key.strip_prefix(KEY_PREFIX)?.rsplit_once('/')?;
     Some((service.into(), piece.parse().ok()?))
 }
 
 fn key(service: &Service, piece: Piece) -> String {
-    format!("{PIECES_PER_SERVICE}{service}/{piece}")
+    format!("{KEY_PREFIX}{service}/{piece}")
 }
 
-/// Returns a piece as the store tells it. A value that cannot be read is somebody else's: the piece is not free.
-pub fn record(change: &Change) -> Option<Record> {
+/// Returns the holder of a piece. A value that cannot be parsed counts as held by another writer,
+/// so that the piece is not free.
+pub fn parse_record(change: &Change) -> Option<Record> {
     let value = change.value.as_ref()?;
     let tenure = match value {
         Value::Text(text) => text.parse().unwrap_or_default(),
@@ -53,33 +54,38 @@
     Some(Record { tenure, revision })
 }
 
-/// Takes and gives back pieces until the process ends.
+/// Acquires and returns pieces until the process ends.
 pub async fn run<D, F: Feed>(state: Rc<State<D>>, store: F) {
     loop {
         let needed = state.retries.needed.notified();
-        let is_awaited = state.retries.is_awaited();
-        let pause = if is_awaited { LOOK_AWAITED } else { LOOK };
-        let is_told = tokio::time::timeout(pause, needed).await.is_ok();
-        let is_idle = !is_told && !is_awaited;
-        // A mark may have been refused; what the store showed then is not known any more.
-        restore::mark(&state, &store, true).await;
+        let has_waiters = state.retries.has_waiters();
+        let pause = if has_waiters {
+            CHECK_INTERVAL_WAITING
+        } else {
+            CHECK_INTERVAL
+        };
+        let is_requested = tokio::time::timeout(pause, needed).await.is_ok();
+        let is_idle = !is_requested && !has_waiters;
+        // The mark may have failed before; the first snapshot is not kept, so assume an earlier
+        // era.
+        restore::mark_era(&state, &store, true).await;
         for service in state.retries.services() {
-            if !take(&state, &store, &service).await && is_idle {
-                give_back(&state, &store, &service).await;
+            if !acquire(&state, &store, &service).await && is_idle {
+                return_surplus(&state, &store, &service).await;
             }
         }
-        tokio::time::sleep(AGAIN).await;
+        tokio::time::sleep(ACQUIRE_PAUSE).await;
     }
 }
 
-/// Returns how many more pieces of a service to hold.
-fn lack<D>(state: &State<D>, service: &Service) -> usize {
+/// Returns how many more pieces of a service are needed.
+fn shortfall<D>(state: &State<D>, service: &Service) -> usize {
     let entries = state.peers.count();
     let held = state.retries.reserve.borrow().held(service);
-    let needed = state.retries.take_needed(service) as f64;
-    let worth = reserve::retries_per_piece(state.retries.terms().slack);
-    let needed = if worth > 0.0 {
-        (needed / worth).ceil() as u64
+    let needed = state.retries.take_demand(service) as f64;
+    let retries_per_piece = reserve::retries_per_piece(state.retries.terms().slack);
+    let needed = if retries_per_piece > 0.0 {
+        (needed / retries_per_piece).ceil() as u64
     } else {
         0
     };
@@ -88,20 +94,22 @@
     needed.max(rest).min(most) as usize
 }
 
-/// Takes pieces that are needed; tells whether any were.
-async fn take<D, F: Feed>(state: &State<D>, store: &F, service: &Service) -> bool {
-    let lack = lack(state, service).min(MOST_AT_ONCE);
+/// Acquires the pieces that are needed; returns whether any were requested.
+async fn acquire<D, F: Feed>(state: &State<D>, store: &F, service: &Service) -> bool {
+    let shortfall = shortfall(state, service).min(MAX_PIECES_PER_CALL);
     let tenure = state.retries.reserve.borrow().tenure();
     let is_marked = !state.settling.get().lacks_mark();
-    let Some(tenure) = tenure.filter(|_| lack > 0 && is_marked && !state.is_store_away()) else {
+    let Some(tenure) =
+        tenure.filter(|_| shortfall > 0 && is_marked && !state.is_store_unavailable())
+    else {
         return false;
     };
     let mut free = state.retries.reserve.borrow().free(service);
-    let count = lack.min(free.len());
+    let count = shortfall.min(free.len());
     if count == 0 {
         return false;
     }
-    // Any of them, so that entries that need some at the same moment seldom want the same.
+    // Random ones, so that entries that acquire at the same time rarely conflict.
     let draw = |_| free.swap_remove(rand::random_range(0..free.len()));
     let pieces: Vec<Piece> = (0..count).map(draw).collect();
     let conditions = pieces.iter().map(|piece| Condition {
@@ -130,12 +138,13 @@
     true
 }
 
-/// Gives back pieces that requests have paid for and that are over what is held at rest, once few are left for others.
+/// Returns pieces beyond the resting number whose retries requests have paid for, once few are free
+/// for other entries.
 ///
-/// Each change to the store is told to every entry and paid for by it: given back at once, and taken again at the next
-/// need, a hundred entries' pieces were most of all calls to the store on a calm day.
-async fn give_back<D, F: Feed>(state: &State<D>, store: &F, service: &Service) {
-    let pieces = spare(state, service);
+/// Every change in the store is sent to every entry, so pieces aren't returned only to be acquired
+/// again for the next retry.
+async fn return_surplus<D, F: Feed>(state: &State<D>, store: &F, service: &Service) {
+    let pieces = take_surplus(state, service);
     if pieces.is_empty() {
         return;
     }
@@ -153,15 +162,15 @@
     log::info!("event=slack service={service} returned={count} outcome={outcome:?}");
 }
 
-/// Takes pieces out of use that are to be given back.
-fn spare<D>(state: &State<D>, service: &Service) -> Vec<(Piece, Revision)> {
+/// Removes the pieces to return from use.
+fn take_surplus<D>(state: &State<D>, service: &Service) -> Vec<(Piece, Revision)> {
     let rest = reserve::idle_pieces(state.peers.count());
     let kept = reserve::retries_per_piece(state.retries.terms().slack) * rest as f64;
     let mut reserve = state.retries.reserve.borrow_mut();
     let is_needed = reserve.free(service).len() < reserve::MIN_FREE_PIECES;
     let is_over = reserve.held(service) > rest;
-    if !is_needed || !is_over || !state.retries.can_spare(service, kept) {
+    if !is_needed || !is_over || !state.retries.can_return(service, kept) {
         return Vec::new();
     }
-    reserve.give_back(service, rest, MOST_AT_ONCE)
+    reserve.give_back(service, rest, MAX_PIECES_PER_CALL)
 }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry share; all run on one thread.
+//! The state shared by an entry's tasks, all of which run on one thread.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -24,7 +24,6 @@
 use jujube_program::clock;
 
 use crate::fleet::Gaps;
-use crate::follow::Malformed;
 use crate::gossip::Peers;
 use crate::metrics::Metrics;
 use crate::planner::Leadership;
@@ -33,86 +32,87 @@
 use crate::retries::Retries;
 use crate::retries::Retry;
 use crate::settings::Settings;
+use crate::store_watch::Malformed;
 use crate::waiting::Waiting;
 use crate::watchdog;
 use crate::watchdog::Streams;
 
-/// How far a stop has come.
+/// The stages of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Phase {
-    /// Callers are served.
+pub enum Lifecycle {
+    /// The entry is ready and serves callers.
     #[default]
     Serving,
-    /// The platform is told to send no more callers; those that come are served.
-    Leaving,
-    /// New requests would not end before the process is killed; they are turned away.
+    /// The entry reports not ready; new requests are still served.
+    Draining,
+    /// New requests are refused: they might not complete before the process is killed.
     Closing,
 }
 
-/// What the tasks of an entry share.
+/// The state shared by an entry's tasks.
 pub struct State<D> {
-    /// What the platform calls things; its functions need no value.
+    /// The dialect, whose functions need no value.
     pub dialect: PhantomData<D>,
     /// When the process started.
     pub started: Instant,
-    /// The settings.
     pub settings: Settings,
     /// The configuration in force.
     pub table: RefCell<Option<Rc<Table>>>,
-    /// The backend servers.
+    /// The registered backend servers.
     pub roster: RefCell<Roster>,
-    /// Whether the store's era is settled.
+    /// Whether pieces of an earlier era may still be in use.
     pub settling: Cell<Settling>,
-    /// The values of the store that could not be read.
+    /// The values in the store that could not be decoded, already logged.
     pub malformed: Malformed,
-    /// Whether the registrations were ever read.
-    pub registered: Cell<bool>,
-    /// The servers of each model, as path choice sees them.
+    /// Whether the registrations have been read at least once.
+    pub registrations_read: Cell<bool>,
+    /// The servers of each model that paths are chosen from.
     pub fleets: RefCell<BTreeMap<Service, Rc<Fleet>>>,
     /// The models with layers that no server holds.
     pub gaps: Gaps,
-    /// What is in flight.
+    /// The requests in flight at each backend server.
     pub load: RefCell<Load>,
-    /// Who is suspected.
+    /// The suspected backend servers.
     pub suspicion: RefCell<Suspicion>,
-    /// Whether this entry keeps up with its own work.
+    /// Detects stalls of this process.
     pub pulse: RefCell<LocalHealth>,
-    /// Who fails too often.
+    /// The failure rates of backend servers.
     pub outliers: RefCell<Outliers>,
-    /// Told when the other entries should hear at once of a server that died or refuses.
-    pub is_news: tokio::sync::Notify,
-    /// What servers told this entry, as the planner, that they hold while the store is away.
-    pub told: RefCell<BTreeMap<Incarnation, Range>>,
-    /// What the planner has ordered servers to hold and they do not hold yet.
-    pub ordered: RefCell<BTreeMap<Incarnation, Range>>,
-    /// Retries, and this entry's part of their slack.
+    /// Notified when a crash or a refusal should be reported to the other entries at once.
+    pub urgent_report: tokio::sync::Notify,
+    /// The layers that servers reported to this entry, as the planner, while the store is
+    /// unavailable.
+    pub reported_layers: RefCell<BTreeMap<Incarnation, Range>>,
+    /// The layers that the planner has ordered servers to hold, until the servers report them.
+    pub ordered_layers: RefCell<BTreeMap<Incarnation, Range>>,
+    /// The retry budget, including this entry's pieces of the slack.
     pub retries: Retries,
-    /// Connections to backend servers.
+    /// The connections to backend servers.
     pub pool: Pool,
-    /// Questions to backend servers that are under way.
+    /// The probes of backend servers in progress.
     pub probes: Probes,
     /// The other entries.
     pub peers: Peers,
-    /// Requests that wait for room.
+    /// The requests waiting for capacity.
     pub waiting: Waiting,
-    /// Streams in flight.
+    /// The streams in flight.
     pub streams: Streams,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// How far a stop has come.
-    pub phase: Cell<Phase>,
-    /// Told when a call to the store went unanswered.
-    pub store_doubted: tokio::sync::Notify,
-    /// Whether there is a planner.
+    /// The stage of a graceful shutdown.
+    pub lifecycle: Cell<Lifecycle>,
+    /// Notified when a call to the store has failed or timed out.
+    pub store_call_failed: tokio::sync::Notify,
+    /// What is known about the planner.
     pub leadership: Leadership,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: Cell<u64>,
-    /// Told whenever placement may have to change.
+    /// Notified when the placement of layers may have to change.
     pub roster_changed: tokio::sync::Notify,
 }
 
 impl<D> State<D> {
-    /// Returns the state of an entry that knows nothing yet.
+    /// Creates the state of an entry that has read nothing from the store yet.
     pub fn new(settings: Settings) -> Self {
         let place = Location {
             zone: settings.zone.clone(),
@@ -128,23 +128,23 @@
             roster: RefCell::default(),
             settling: Cell::default(),
             malformed: Malformed::default(),
-            registered: Cell::new(false),
+            registrations_read: Cell::new(false),
             fleets: RefCell::default(),
             gaps: Gaps::default(),
             load: RefCell::default(),
             suspicion: RefCell::default(),
             pulse: RefCell::new(LocalHealth::new(watchdog::PACE)),
             outliers: RefCell::default(),
-            is_news: tokio::sync::Notify::new(),
-            told: RefCell::default(),
-            ordered: RefCell::default(),
+            urgent_report: tokio::sync::Notify::new(),
+            reported_layers: RefCell::default(),
+            ordered_layers: RefCell::default(),
             pool: Pool::default(),
             probes: Probes::default(),
             waiting: Waiting::default(),
             streams: Streams::default(),
             metrics: Metrics::default(),
-            phase: Cell::default(),
-            store_doubted: tokio::sync::Notify::new(),
+            lifecycle: Cell::default(),
+            store_call_failed: tokio::sync::Notify::new(),
             leadership: Leadership::default(),
             in_flight: Cell::new(0),
             roster_changed: tokio::sync::Notify::new(),
@@ -156,15 +156,15 @@
         self.table.borrow().clone()
     }
 
-    /// Tells whether callers may be sent here.
+    /// Returns whether callers may be sent to this entry.
     pub fn is_ready(&self) -> bool {
-        let known = self.table.borrow().is_some() && self.registered.get();
-        known && self.phase.get() == Phase::Serving
+        let is_initialized = self.table.borrow().is_some() && self.registrations_read.get();
+        is_initialized && self.lifecycle.get() == Lifecycle::Serving
     }
 
-    /// Takes one retry for a request; `None` when the retry budget has nothing left.
+    /// Acquires a retry for a request; `None` if the retry budget is exhausted.
     pub fn take_retry(&self, service: &Service, request: &str) -> Option<Retry> {
-        let (retry, decision) = self.retries.take(service);
+        let (retry, decision) = self.retries.acquire(service);
         let (outcome, counter) = match retry {
             Some(_) => ("taken", "retries_taken"),
             None => ("denied", "retries_denied"),
@@ -184,25 +184,28 @@
         retry
     }
 
-    /// Tells whether the store does not answer this entry.
+    /// Returns whether the store is unavailable to this entry.
     ///
-    /// An entry that starts in an outage has lost nothing yet. Were it taken for one that the store answers,
-    /// each restart would stop the others from going on without the store.
-    pub fn is_store_away(&self) -> bool {
-        !self.registered.get() || self.roster.borrow().is_store_away()
+    /// This includes an entry that starts during an outage. Counting it as connected would stop the
+    /// other entries from continuing without the store after each restart.
+    pub fn is_store_unavailable(&self) -> bool {
+        !self.registrations_read.get() || self.roster.borrow().is_store_away()
     }
 
-    /// Tells whether the store answers no entry at all, as far as is known here.
-    pub fn is_store_away_for_all(&self) -> bool {
-        self.is_store_away() && self.peers.is_store_away()
+    /// Returns whether the store is unavailable to all entries, as far as this entry knows.
+    pub fn is_store_unavailable_to_all(&self) -> bool {
+        self.is_store_unavailable() && self.peers.is_store_unavailable()
     }
 
-    /// Returns where a registered backend server listens.
+    /// Returns the address of a registered backend server.
     pub fn address(&self, server: &Incarnation) -> Option<SocketAddr> {
-        self.roster.borrow().get(server).map(|known| known.address)
+        self.roster
+            .borrow()
+            .get(server)
+            .map(|server| server.address)
     }
 
-    /// Returns what is believed of a backend server.
+    /// Returns the assumed state of a backend server.
     pub fn belief(&self, server: &Incarnation) -> Liveness {
         let (roster, suspicion) = (self.roster.borrow(), self.suspicion.borrow());
         Liveness::assess(
@@ -214,31 +217,32 @@
         )
     }
 
-    /// Books that a request ended well at a backend server.
+    /// Records a successful request at a backend server.
     pub fn served(&self, server: &Incarnation) {
         self.outliers.borrow_mut().served(clock::now(), server);
     }
 
-    /// Books that a request failed at a backend server.
+    /// Records a failed request at a backend server.
     pub fn failed(&self, server: &Incarnation) {
         self.outliers.borrow_mut().failed(clock::now(), server);
     }
 
-    /// Books that a backend server refused a request, and tells the other entries.
+    /// Records that a backend server refused a request; the first refusal is reported to the other
+    /// entries at once.
     pub fn refused(&self, server: &Incarnation) {
         let mut load = self.load.borrow_mut();
         if load.refusals.refused(clock::now(), server) {
-            self.is_news.notify_waiters();
+            self.urgent_report.notify_waiters();
         }
     }
 
     /// Suspects a backend server.
-    pub fn accuse(&self, server: &Incarnation, cause: &str) {
+    pub fn suspect(&self, server: &Incarnation, cause: &str) {
         let fresh = self.suspicion.borrow_mut().suspect(clock::now(), server);
         self.pool.forget(server);
         if fresh {
             self.load.borrow_mut().server_lost(clock::now(), server);
-            self.is_news.notify_waiters();
+            self.urgent_report.notify_waiters();
             self.streams.look_at(server);
             self.metrics.count("servers_suspected");
             log::info!("event=suspected server={server} cause={cause}");
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration and the registrations in the store.
+//! Watches the configuration and the registrations in the store.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -32,68 +32,74 @@
 use crate::slack;
 use crate::state::State;
 
-/// The longest such pause of the entry that places layers. It takes registrations for complete that have been quiet for
-/// 0.7 s; looking once a second it placed half of the servers without knowing the others, and a deployment served a
-/// third less all day.
-pub const GATHER_PLANNER: Span = Span(500);
-/// The start of the keys that entries write.
-const OWN: &str = "jujube/";
-/// Everything: one waiting call hears of configuration, registrations and the planner's lease.
-const ALL: &str = "";
-/// How much less one call waits for changes than a VM takes to count as being without trouble.
+/// The longest pause of the planner between an answer with changes and the next call. It must be
+/// shorter than the 0.7 s after which the planner considers the registrations complete, or servers
+/// would be placed before all of them are known.
+pub const MAX_PLANNER_PAUSE: Span = Span(500);
+/// The prefix of the keys that entries write.
+const ENTRY_KEYS: &str = "jujube/";
+/// The empty prefix: one watch covers the configuration, the registrations and the planner's lease.
+const ALL_KEYS: &str = "";
+/// How much shorter one call waits than the fault-free time after which the time limits apply.
 ///
-/// A call that began while the store passed no changes on hears nothing for its whole wait, while all
-/// other calls work: a configuration would be missed for that long. The next call must have been answered by the
-/// time from which delays count. A store that falls silent as a whole is noticed by the renewals of this entry's
-/// lease.
-const EARLIER: Span = Span(1_000);
-/// The least that one call waits.
-const LEAST_WAIT: Span = Span(500);
-/// The same while the store is lost: a short wait is answered soon after it is back, also when
-/// nothing changes.
-const WAIT_LOST: Span = Span(300);
-/// The share of the time in which a configuration must be in force that passes between an answer with changes and the
-/// next call. Changes come in bursts, and each call is paid for by each entry: with half a second of two and a hundred
-/// entries, calls to the store were a tenth of what a day with trouble earned.
-const GATHER_SHARE: u64 = 4;
-/// How much of that time is left for the next call after an answer that told only of entries and of what they hold in
-/// the store: more of that may wait, a configuration may not. A slow store takes a third of a second, and reading a
-/// large one as long on the smallest VMs.
-const LEFT: Span = Span(1_500);
-/// The shortest and longest pause before a store that failed is asked again; a random one between
-/// them keeps the entries from asking together.
-const PAUSE_MS: std::ops::Range<u64> = 100..300;
+/// A watch that began while the store delivered no changes may report no changes for its whole wait
+/// although all other calls succeed. The next call must be answered before the time limits apply
+/// again. A store that becomes silent altogether is detected by the renewals of this entry's lease.
+const WAIT_MARGIN: Span = Span(1_000);
+/// The shortest wait of one call.
+const MIN_WAIT: Span = Span(500);
+/// The wait of one call after the connection to the store was lost, short so that the recovery is
+/// noticed even if nothing changes.
+const WAIT_AFTER_LOSS: Span = Span(300);
+/// The fraction of the time limit, as a divisor, that passes between an answer with changes and the
+/// next call. Changes come in bursts, and every entry pays for each call.
+const PAUSE_DIVISOR: u64 = 4;
+/// The part of the time limit reserved for the next call after an answer that contained only keys
+/// of entries. Such changes may wait longer than a configuration. A slow store answers within a
+/// third of a second, and decoding a large snapshot takes as long on the smallest VMs.
+const CALL_RESERVE: Span = Span(1_500);
+/// The range of the random pause before a failed call is repeated, which keeps the entries from
+/// calling in step.
+const RETRY_PAUSE_MS: std::ops::Range<u64> = 100..300;
 
-/// The pause between two calls for the first snapshot, in milliseconds; a slow store answers within.
-const FIRST_PAUSE_MS: std::ops::Range<u64> = 300..400;
+/// The range of the random pause between two calls for the first snapshot, in milliseconds; a slow
+/// store answers within it.
+const FIRST_CALL_PAUSE_MS: std::ops::Range<u64> = 300..400;
 
-/// Follows the store until the process ends.
+/// Watches the store until the process ends.
 pub async fn run<D: Dialect, F: Feed>(state: Rc<State<D>>, store: F) {
     let mut after: Option<Revision> = None;
     let mut era = store.era();
     let mut is_lost = false;
     loop {
         if state.roster.borrow().is_to_be_read(clock::now()) {
-            // What lives has written again; what the copy still showed and is dead is gone.
+            // Running servers have registered again by now; a new snapshot no longer contains
+            // the dead ones of the backup.
             after = None;
         }
-        let wait = if is_lost { WAIT_LOST } else { wait(&state) };
+        let wait = if is_lost {
+            WAIT_AFTER_LOSS
+        } else {
+            wait_time(&state)
+        };
         let step = async {
             match after {
-                None => read(&state, &store).await,
-                Some(revision) => follow(&state, &store, revision, wait).await,
+                None => read_snapshot(&state, &store).await,
+                Some(revision) => watch(&state, &store, revision, wait).await,
             }
         };
         let step = tokio::select! {
             step = step => step,
-            () = state.store_doubted.notified() => Err(Error::Unknown("lease-not-renewed".into())),
+            () = state.store_call_failed.notified() => Err(Error::Unknown("lease-not-renewed".into())),
             () = store.risen(era) => Ok(None),
         };
-        let (before, now) = (era, store.era());
-        era = now;
-        if let Some(risen) = now.filter(|now| before.is_some_and(|before| *now > before)) {
-            // Whatever this step has learned may be of both eras.
-            restore::take(&state, risen);
+        let (previous, current) = (era, store.era());
+        era = current;
+        if let Some(later) =
+            current.filter(|current| previous.is_some_and(|previous| *current > previous))
+        {
+            // The result of this step may mix the state of both eras.
+            restore::handle_restore(&state, later);
             after = None;
             continue;
         }
@@ -103,7 +109,7 @@
                 if is_lost {
                     is_lost = false;
                     state.roster.borrow_mut().store_returned(clock::now());
-                    state.told.borrow_mut().clear();
+                    state.reported_layers.borrow_mut().clear();
                     log::info!("event=store-regained");
                 }
             }
@@ -117,7 +123,7 @@
                         error.to_string().replace(' ', "-")
                     );
                 }
-                let pause = rand::random_range(PAUSE_MS);
+                let pause = rand::random_range(RETRY_PAUSE_MS);
                 tokio::time::sleep(Duration::from_millis(pause)).await;
             }
         }
@@ -125,16 +131,16 @@
 }
 
 /// Returns how long one call waits for changes.
-fn wait<D>(state: &State<D>) -> Span {
-    let contact = state.settings.fresh.contact;
-    Span(contact.0.saturating_sub(EARLIER.0)).max(LEAST_WAIT)
+fn wait_time<D>(state: &State<D>) -> Span {
+    let contact = state.settings.limits.contact;
+    Span(contact.0.saturating_sub(WAIT_MARGIN.0)).max(MIN_WAIT)
 }
 
-/// Reads everything for the first time, however long the store takes.
+/// Reads the first snapshot, however long the store takes.
 ///
-/// Until then every caller is turned away. A call that was made while the store was silent stays
-/// without an answer for its whole time, also when the store is back meanwhile; so another is made
-/// every now and then, and those before it may still be answered by a slow store.
+/// Until then every caller is refused. A call made while the store was silent may stay unanswered
+/// even after the store has recovered, so further calls are made at intervals, while the earlier
+/// ones may still be answered by a slow store.
 async fn first_snapshot<D: Dialect, F: Feed>(
     state: &State<D>,
     store: &F,
@@ -143,8 +149,8 @@
     let mut is_lost = false;
     loop {
         state.metrics.count("store_reads");
-        calls.push(store.snapshot(ALL));
-        let pause = rand::random_range(FIRST_PAUSE_MS);
+        calls.push(store.snapshot(ALL_KEYS));
+        let pause = rand::random_range(FIRST_CALL_PAUSE_MS);
         let mut pause = pin!(tokio::time::sleep(Duration::from_millis(pause)).fuse());
         loop {
             let answer = futures::select! {
@@ -163,28 +169,32 @@
                     let cause = error.to_string().replace(' ', "-");
                     log::warn!("event=store-lost cause={cause}");
                 }
-                // The store is known to be lost, and the next call is due soon.
+                // The loss is logged already, and the next call follows soon.
                 Err(_) => {}
             }
         }
     }
 }
 
-/// Reads everything; returns the revision to follow from.
-async fn read<D: Dialect, F: Feed>(state: &State<D>, store: &F) -> Result<Option<Revision>, Error> {
-    let (changes, revision) = if state.registered.get() {
+/// Reads a snapshot of the store; returns the revision to watch from.
+async fn read_snapshot<D: Dialect, F: Feed>(
+    state: &State<D>,
+    store: &F,
+) -> Result<Option<Revision>, Error> {
+    let (changes, revision) = if state.registrations_read.get() {
         state.metrics.count("store_reads");
-        store.snapshot(ALL).await?
+        store.snapshot(ALL_KEYS).await?
     } else {
         first_snapshot(state, store).await
     };
-    // What came back after an outage is judged by when it came back, not by when it was lost.
+    // A registration that reappears after an outage is dated by the recovery, not by the start of
+    // the outage.
     state.roster.borrow_mut().store_returned(clock::now());
     if state.roster.borrow().is_to_be_read(clock::now()) {
         state.roster.borrow_mut().read_again();
     }
-    restore::take_all(state, store.era(), &changes);
-    restore::mark(state, store, restore::shows_earlier(&changes)).await;
+    restore::apply_snapshot(state, store.era(), &changes);
+    restore::mark_era(state, store, restore::shows_earlier_era(&changes)).await;
     let mut servers = Vec::new();
     let mut unreadable = Vec::new();
     let mut is_held = false;
@@ -192,15 +202,17 @@
     let mut pieces = BTreeMap::new();
     for change in &changes {
         if let (Some(entry), Some(value)) = (gossip::announced(&change.key), &change.value) {
-            let announcement = gossip::Announcement::read(value);
+            let announcement = gossip::Announcement::decode(value);
             entries.extend(announcement.map(|read| (Arc::from(entry), read)));
         }
-        if let (Some(piece), Some(record)) = (slack::piece(&change.key), slack::record(change)) {
+        if let (Some(piece), Some(record)) =
+            (slack::parse_key(&change.key), slack::parse_record(change))
+        {
             pieces.insert(piece, record);
         }
         is_held |= change.key == orders::HOLDER;
         match D::record(&change.key, change.value.as_ref()) {
-            Record::Configuration(document) => take(state, document),
+            Record::Configuration(document) => apply_configuration(state, document),
             Record::Server(server) => servers.push(server),
             Record::UnreadableServer(server, error) => {
                 state.malformed.log(change, &error);
@@ -219,81 +231,81 @@
             "event=registration server={server} effect={effect:?} held={held} revision={revision}"
         );
     }
-    state.registered.set(true);
-    state.leadership.heard(is_held);
+    state.registrations_read.set(true);
+    state.leadership.set_held(is_held);
     let mut reserve = state.retries.reserve.borrow_mut();
     reserve.replaced(&pieces, revision);
     drop(reserve);
     let own = entries.get(&state.settings.name);
-    check_own(state, own, revision);
+    check_own_announcement(state, own, revision);
     let places = entries.into_iter().map(|(name, read)| (name, read.place));
     state.peers.directory.borrow_mut().replaced(places);
     rebuild(state);
     Ok(Some(revision))
 }
 
-/// Waits for changes; returns the revision to follow from, `None` to read everything.
-async fn follow<D: Dialect, F: Feed>(
+/// Waits for changes; returns the revision to continue from, or `None` if a snapshot is needed.
+async fn watch<D: Dialect, F: Feed>(
     state: &State<D>,
     store: &F,
     after: Revision,
     wait: Span,
 ) -> Result<Option<Revision>, Error> {
     state.metrics.count("store_watches");
-    let (changes, revision) = match store.follow(ALL, after, wait).await? {
+    let (changes, revision) = match store.follow(ALL_KEYS, after, wait).await? {
         News::Forgotten => {
             log::info!("event=history-lost revision={after}");
             return Ok(None);
         }
         News::Changes(changes, revision) => (changes, revision),
     };
-    // Registrations that vanish in the first answer after an outage lapsed in it.
+    // Registrations removed in the first answer after an outage expired during the outage.
     state.roster.borrow_mut().store_returned(clock::now());
     let mut is_changed = false;
     for change in &changes {
         if change.key == orders::HOLDER {
-            state.leadership.heard(change.value.is_some());
+            state.leadership.set_held(change.value.is_some());
         }
-        take_announcement(state, change);
-        take_piece(state, change);
-        restore::take_mark(state, change);
-        is_changed |= apply(state, change) != Effect::None;
+        apply_announcement(state, change);
+        apply_piece(state, change);
+        restore::apply_mark(state, change);
+        is_changed |= apply_change(state, change) != Effect::None;
     }
-    restore::allow_pieces(state);
+    restore::update_settling(state);
     state.retries.reserve.borrow_mut().followed(revision);
     if is_changed {
         rebuild(state);
     }
     if !changes.is_empty() {
-        let pause = gather(state, &changes);
+        let pause = pause_after(state, &changes);
         tokio::time::sleep(Duration::from_millis(pause.0)).await;
     }
     Ok(Some(revision))
 }
 
-/// Returns for how long changes are gathered after an answer with these.
-fn gather<D>(state: &State<D>, changes: &[Change]) -> Span {
-    let is_own = |change: &Change| change.key.starts_with(OWN);
-    let apply = state.settings.fresh.apply;
-    let gather = Span(apply.0 / GATHER_SHARE);
-    let pause = match changes.iter().all(is_own) {
-        true => gather.max(Span(apply.0.saturating_sub(LEFT.0))),
-        false => gather,
+/// Returns the pause after an answer with changes, in which further changes accumulate.
+fn pause_after<D>(state: &State<D>, changes: &[Change]) -> Span {
+    let is_of_entry = |change: &Change| change.key.starts_with(ENTRY_KEYS);
+    let apply = state.settings.limits.apply;
+    let usual = Span(apply.0 / PAUSE_DIVISOR);
+    let pause = match changes.iter().all(is_of_entry) {
+        true => usual.max(Span(apply.0.saturating_sub(CALL_RESERVE.0))),
+        false => usual,
     };
     match state.leadership.own() {
-        Some(_) => pause.min(GATHER_PLANNER),
+        Some(_) => pause.min(MAX_PLANNER_PAUSE),
         None => pause,
     }
 }
 
-/// Takes where another entry is, if the change tells that.
-fn take_announcement<D>(state: &State<D>, change: &Change) {
+/// Records the address of another entry if the change is an announcement.
+fn apply_announcement<D>(state: &State<D>, change: &Change) {
     let Some(entry) = gossip::announced(&change.key) else {
         return;
     };
-    let announcement = change.value.as_ref().and_then(gossip::Announcement::read);
+    let announcement = change.value.as_ref().and_then(gossip::Announcement::decode);
     if *entry == *state.settings.name {
-        check_own(state, announcement.as_ref(), change.revision);
+        check_own_announcement(state, announcement.as_ref(), change.revision);
         return;
     }
     let mut directory = state.peers.directory.borrow_mut();
@@ -303,44 +315,50 @@
     }
 }
 
-/// Gives up the lease of this entry's announcement if another one has taken its place, for it to be made anew.
+/// Drops the lease of this entry's announcement if another announcement has replaced it, so that it
+/// is written again.
 ///
-/// A write of an earlier lease that is carried out late takes the announcement with it when that lease ends, and
-/// entries that start later would never hear of this one. What the store tells of times before this announcement
-/// says nothing of it.
-fn check_own<D>(state: &State<D>, announcement: Option<&gossip::Announcement>, told: Revision) {
-    if told <= state.retries.announced.get() {
+/// A delayed write under an earlier lease can replace the announcement and remove it when that
+/// lease expires, and entries that start later would not find this one. Revisions up to that of
+/// this entry's own write say nothing about it.
+fn check_own_announcement<D>(
+    state: &State<D>,
+    announcement: Option<&gossip::Announcement>,
+    revision: Revision,
+) {
+    if revision <= state.retries.announced.get() {
         return;
     }
     let mut reserve = state.retries.reserve.borrow_mut();
-    let stands = announcement.map(|announcement| announcement.tenure);
-    if reserve.tenure().is_some() && reserve.tenure() != stands {
-        log::info!("event=announcement-overtaken by={stands:?}");
+    let tenure = announcement.map(|announcement| announcement.tenure);
+    if reserve.tenure().is_some() && reserve.tenure() != tenure {
+        let by = tenure.map_or("None".into(), |tenure| format!("Some(Tenure({tenure}))"));
+        log::info!("event=announcement-overtaken by={by}");
         reserve.lost();
     }
 }
 
-/// Takes who holds a piece of the retry budget's slack, if the change tells that.
-fn take_piece<D>(state: &State<D>, change: &Change) {
-    let Some((service, piece)) = slack::piece(&change.key) else {
+/// Records the holder of a piece of the retry slack if the change is about one.
+fn apply_piece<D>(state: &State<D>, change: &Change) {
+    let Some((service, piece)) = slack::parse_key(&change.key) else {
         return;
     };
     let mut reserve = state.retries.reserve.borrow_mut();
-    match slack::record(change) {
+    match slack::parse_record(change) {
         Some(record) => reserve.written(&service, piece, record),
         None => reserve.removed(&service, piece, change.revision),
     }
     state.retries.changed.notify_one();
 }
 
-/// Takes one change; returns what it meant for the registrations.
-fn apply<D: Dialect>(state: &State<D>, change: &Change) -> Effect {
+/// Applies one change; returns its effect on the registrations.
+fn apply_change<D: Dialect>(state: &State<D>, change: &Change) -> Effect {
     let now = clock::now();
     let mut roster = state.roster.borrow_mut();
     let (name, effect) = match D::record(&change.key, change.value.as_ref()) {
         Record::Configuration(document) => {
             drop(roster);
-            take(state, document);
+            apply_configuration(state, document);
             return Effect::None;
         }
         Record::Server(server) => {
@@ -372,15 +390,16 @@
     effect
 }
 
-/// The values that could not be read and that were logged.
+/// The undecodable values that have been logged.
 ///
-/// The whole store is read again after each gap in its history; without this an entry that somebody
-/// else wrote once would be reported each time.
+/// The whole store is read again whenever the watch history has been compacted; without this, the
+/// same malformed value would be logged each time.
 #[derive(Default)]
 pub struct Malformed(RefCell<BTreeMap<String, Revision>>);
 
-/// How many keys are remembered; a writer that makes up new ones must not fill the memory.
-const MOST_MALFORMED: usize = 1_000;
+/// The maximum number of remembered keys, so that a writer of ever new keys cannot exhaust the
+/// memory.
+const MAX_MALFORMED_KEYS: usize = 1_000;
 
 impl Malformed {
     fn log(&self, change: &Change, error: &anyhow::Error) {
@@ -388,7 +407,7 @@
         if logged.get(&change.key) == Some(&change.revision) {
             return;
         }
-        if logged.len() >= MOST_MALFORMED {
+        if logged.len() >= MAX_MALFORMED_KEYS {
             logged.clear();
         }
         logged.insert(change.key.clone(), change.revision);
@@ -401,14 +420,14 @@
     }
 }
 
-/// Takes a configuration, unless one that is newer is in force.
+/// Applies a configuration unless the one in force is as new.
 ///
-/// A read may be older than what a watch has shown; going back to it would route by a configuration
-/// that was replaced.
-fn take<D: Dialect>(state: &State<D>, document: Document) {
+/// A snapshot may be older than changes already watched; applying it would route by a superseded
+/// configuration.
+fn apply_configuration<D: Dialect>(state: &State<D>, document: Document) {
     let version = document.version;
-    let known = state.table().map(|table| table.document.version);
-    if known.is_some_and(|known| known >= version) {
+    let current = state.table().map(|table| table.document.version);
+    if current.is_some_and(|current| current >= version) {
         return;
     }
     log::info!(
@@ -422,9 +441,9 @@
     rebuild(state);
 }
 
-/// Takes what a server itself says it holds, and has the other entries told, while the store, which would
-/// tell all, is away.
-pub fn take_held<D>(state: &State<D>, server: &Incarnation, held: Range) {
+/// Applies the layers that a server reports while the store, the usual source, is unavailable, and
+/// shares them with the other entries.
+pub fn apply_reported_layers<D>(state: &State<D>, server: &Incarnation, held: Range) {
     let mut roster = state.roster.borrow_mut();
     let effect = roster.reported(clock::now(), server, held);
     drop(roster);
@@ -432,11 +451,14 @@
         return;
     }
     log::info!("event=reported server={server} effect={effect:?} held={held}");
-    state.told.borrow_mut().insert(server.clone(), held);
+    state
+        .reported_layers
+        .borrow_mut()
+        .insert(server.clone(), held);
     rebuild(state);
 }
 
-/// Rebuilds what is derived from configuration and registrations.
+/// Rebuilds the state derived from the configuration and the registrations.
 pub fn rebuild<D>(state: &State<D>) {
     let Some(table) = state.table() else {
         return;
@@ -448,7 +470,7 @@
     );
     let roster = state.roster.borrow();
     *state.fleets.borrow_mut() = fleet::build(&table, &roster);
-    if state.registered.get() {
+    if state.registrations_read.get() {
         state
             .gaps
             .log(clock::now(), &state.fleets.borrow(), &state.metrics);
@@ -458,26 +480,28 @@
     state.load.borrow_mut().backlog.retain(is_known);
     state.outliers.borrow_mut().retain(is_known);
     drop(roster);
-    for earlier in state.roster.borrow_mut().take_replaced() {
-        // Streams through it go on elsewhere at once, without waiting until they have been silent.
-        state.accuse(&earlier, "restarted");
+    for replaced in state.roster.borrow_mut().take_replaced() {
+        // Streams through the old incarnation switch paths at once instead of waiting for a
+        // timeout.
+        state.suspect(&replaced, "restarted");
     }
     state.roster_changed.notify_waiters();
 }
 
-/// How often lapsed registrations and idle connections are looked through. A lapse ends two seconds
-/// after the store's return, and what is missing then must get nothing a second later.
-const TIDY: Duration = Duration::from_millis(100);
+/// How often expired registrations and idle connections are removed. The grace period ends two
+/// seconds after the store's recovery, and a server that is missing then must get no requests a
+/// second later.
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Drops what has run out until the process ends.
-pub async fn tidy<D: Dialect>(state: Rc<State<D>>) {
+/// Removes expired registrations and idle connections until the process ends.
+pub async fn expire<D: Dialect>(state: Rc<State<D>>) {
     loop {
-        tokio::time::sleep(TIDY).await;
-        let gone = state.roster.borrow_mut().expire(clock::now());
-        for server in &gone {
+        tokio::time::sleep(EXPIRE_INTERVAL).await;
+        let expired = state.roster.borrow_mut().expire(clock::now());
+        for server in &expired {
             log::info!("event=registration server={server} effect=GraceOver");
         }
-        if !gone.is_empty() {
+        if !expired.is_empty() {
             rebuild(&state);
         }
         let roster = state.roster.borrow();
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -132,7 +132,7 @@
         match failure {
             Failure::NotSent(_) => {
                 if let Some(first) = first {
-                    state.accuse(&first.server, "not-sent");
+                    state.suspect(&first.server, "not-sent");
                 }
                 continue;
             }
@@ -316,7 +316,7 @@
 
 /// Tells whether a retry is in hand for the next run, after taking one if there was none.
 pub(super) fn holds_retry<D>(state: &State<D>, stream: &Stream) -> bool {
-    let held = stream.retry.take().filter(Retry::is_fresh);
+    let held = stream.retry.take().filter(Retry::is_valid);
     let held = held.or_else(|| state.take_retry(&stream.service, &stream.id));
     let holds = held.is_some();
     stream.retry.replace(held);
