--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -20,7 +20,7 @@
 use crate::dialect::Dialect;
 use crate::state::State;
 
-use term::LeaseId;
+use term::Tenure;
 use term::Term;
 
 /// How long the planner's lease lasts without renewal: a planner that dies is replaced within that
@@ -110,7 +110,7 @@
         return None;
     }
     let (lead, tenure) = match stand_in(state) {
-        Some(lead) => (lead, LeaseId::Deputy),
+        Some(lead) => (lead, Tenure::Deputy),
         None => win(state, store).await?,
     };
     log::info!("event=planner-won token={} tenure={tenure:?}", lead.token);
@@ -133,14 +133,14 @@
     })
 }
 
-async fn win<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, LeaseId)> {
+async fn win<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, Tenure)> {
     if state.leadership.is_held.get() {
         return None;
     }
     let least = store.era().map_or(Token(0), Token::first_of);
     let won = orders::acquire(store, clock::now(), TTL, &state.settings.name, least).await;
     match won {
-        Ok(won) => won.map(|(lead, lease)| (lead, LeaseId::Lease(lease))),
+        Ok(won) => won.map(|(lead, lease)| (lead, Tenure::Lease(lease))),
         Err(error) => {
             let cause = error.to_string().replace(' ', "-");
             log::info!("event=planner-not-won cause={cause}");
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -46,7 +46,7 @@
 const ASK: Duration = Duration::from_millis(1_000);
 /// By what right a term is served.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum LeaseId {
+pub(super) enum Tenure {
     /// The lease in the store.
     Lease(Lease),
     /// The planner is gone and the store can make no other.
@@ -58,7 +58,7 @@
     pub(super) state: Rc<State<D>>,
     pub(super) store: F,
     pub(super) lead: Cell<Lead>,
-    pub(super) tenure: LeaseId,
+    pub(super) tenure: Tenure,
     pub(super) is_over: Cell<bool>,
     /// How often the store had come back from an older copy when the term began.
     restores: u64,
@@ -71,7 +71,7 @@
 }
 
 impl<D: Dialect, F: Feed> Term<D, F> {
-    pub(super) fn new(state: &Rc<State<D>>, store: &F, lead: Lead, tenure: LeaseId) -> Self {
+    pub(super) fn new(state: &Rc<State<D>>, store: &F, lead: Lead, tenure: Tenure) -> Self {
         Self {
             state: state.clone(),
             store: store.clone(),
@@ -89,7 +89,7 @@
     }
 
     pub(super) async fn serve(self: &Rc<Self>) {
-        if let LeaseId::Lease(lease) = self.tenure {
+        if let Tenure::Lease(lease) = self.tenure {
             tokio::task::spawn_local(self.clone().renew(lease));
         }
         tokio::task::spawn_local(self.clone().watch_holders());
@@ -100,7 +100,7 @@
                 self.resign().await;
                 break;
             }
-            let is_needless = self.tenure == LeaseId::Deputy && !self.is_needed();
+            let is_needless = self.tenure == Tenure::Deputy && !self.is_needed();
             if is_needless || self.is_forgotten() {
                 break;
             }
@@ -148,7 +148,7 @@
             return false;
         }
         let is_office_open =
-            self.tenure == LeaseId::Deputy || self.lead.get().may_order(clock::now());
+            self.tenure == Tenure::Deputy || self.lead.get().may_order(clock::now());
         is_office_open || self.state.is_store_away_for_all()
     }
 
@@ -164,7 +164,7 @@
         // The others hear at once that the office is free, also where the store does not.
         self.state.leadership.own.set(None);
         self.state.is_news.notify_waiters();
-        let LeaseId::Lease(lease) = self.tenure else {
+        let Tenure::Lease(lease) = self.tenure else {
             return;
         };
         match self.store.revoke(lease).await {
--- a/crates/front/src/slack.rs
+++ b/crates/front/src/slack.rs
@@ -20,7 +20,7 @@
 use crate::state::State;
 
 /// The start of the keys of pieces; the service and the number follow.
-const PIECES_PER_SERVICE: &str = "jujube/slack/";
+const PIECES: &str = "jujube/slack/";
 /// The most pieces of one call: a transaction takes 32 rows, and each piece has a condition and a write.
 const MOST_AT_ONCE: usize = 12;
 /// How often pieces are looked after when nobody asks for any.
@@ -34,12 +34,12 @@
 
 /// Returns the piece that a key is of.
 pub fn piece(key: &str) -> Option<(Service, Piece)> {
-    let (service, piece) = key.strip_prefix(PIECES_PER_SERVICE)?.rsplit_once('/')?;
+    let (service, piece) = key.strip_prefix(PIECES)?.rsplit_once('/')?;
     Some((service.into(), piece.parse().ok()?))
 }
 
 fn key(service: &Service, piece: Piece) -> String {
-    format!("{PIECES_PER_SERVICE}{service}/{piece}")
+    format!("{PIECES}{service}/{piece}")
 }
 
 /// Returns a piece as the store tells it. A value that cannot be read is somebody else's: the piece is not free.
