--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the entry itself gives.
+//! Responses that the entry generates itself.
 
 use hyper::Response;
 use hyper::StatusCode;
@@ -10,39 +10,40 @@
 
 use crate::body::Body;
 
-/// Why the entry answers a request itself.
+/// Why the entry responds without forwarding a backend server's response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// No configuration is known yet.
+    /// The configuration or the registrations have not been read yet.
     Starting,
-    /// The process is about to stop.
+    /// The process is shutting down.
     Stopping,
     /// No route matches.
     NoRoute,
     /// The key is unknown, or there is none.
     NoKey,
-    /// The body is larger than allowed.
+    /// The request body exceeds the limit.
     TooLarge,
-    /// The body did not arrive in time.
+    /// Reading the request body timed out.
     SlowBody,
-    /// The body broke off.
+    /// The request body ended early.
     BrokenBody,
-    /// The request cannot be understood.
+    /// The request is invalid.
     Malformed,
-    /// No backend server or path can take the request now.
+    /// No backend server or path is available.
     NoServer,
-    /// The request would wait longer than it may.
+    /// The request would exceed its maximum queueing time.
     Overloaded,
-    /// Every backend server that was asked said that it has not run the request.
+    /// Every backend server that was tried reported that it did not run the request.
     Refused,
-    /// A backend server may have run the request and did not answer.
+    /// A backend server may have run the request but returned no usable response.
     Failed,
-    /// The time for an answer is over.
+    /// The request's deadline has passed.
     Late,
 }
 
 impl Reason {
-    /// Returns the status: 429, 503 and 408 promise that the request has not run and never will.
+    /// Returns the HTTP status. 429, 503 and 408 promise that the request has not run and never
+    /// will.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Returns the name for logs and metrics.
+    /// Returns the name used in response bodies, logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -81,8 +82,8 @@
     }
 }
 
-/// Returns the entry's own answer to a request.
-pub fn own<D>(reason: Reason, retry_after: Option<Span>) -> Response<Body<D>> {
+/// Creates the entry's response to a request that it does not forward.
+pub fn local<D>(reason: Reason, retry_after: Option<Span>) -> Response<Body<D>> {
     let mut response = Response::new(Body::text(reason.name()));
     *response.status_mut() = reason.status();
     let headers = response.headers_mut();
--- a/crates/front/src/body.rs
+++ b/crates/front/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of the answers that callers get.
+//! Response bodies sent to clients.
 
 use std::io;
 use std::pin::Pin;
@@ -12,23 +12,23 @@
 use crate::dialect::Dialect;
 use crate::stream::Live;
 
-/// The body of an answer.
+/// A response body.
 pub enum Body<D> {
-    /// All of it is here.
-    Whole(Option<Bytes>),
-    /// Events are passed on as they come.
+    /// A buffered body; `None` once it was read or if it is empty.
+    Buffered(Option<Bytes>),
+    /// A stream of events, forwarded as they arrive.
     Live(Box<Live<D>>),
 }
 
 impl<D> Body<D> {
-    /// Returns a body that is whole.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes).filter(|bytes| !bytes.is_empty()))
+    /// Creates a buffered body.
+    pub fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered(Some(bytes).filter(|bytes| !bytes.is_empty()))
     }
 
-    /// Returns a body of text.
+    /// Creates a text body.
     pub fn text(text: impl Into<String>) -> Self {
-        Self::whole(text.into().into())
+        Self::buffered(text.into().into())
     }
 }
 
@@ -41,21 +41,21 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Buffered(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Live(live) => live.poll(context).map(|next| Some(next?.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_none(),
+            Self::Buffered(bytes) => bytes.is_none(),
             Self::Live(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             Self::Live(_) => SizeHint::default(),
--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -148,7 +148,9 @@
 }
 
 async fn connection<D: Dialect>(state: Rc<State<D>>, stream: TcpStream, mut closing: Signal) {
-    let set_up = stream.set_nodelay(true).and_then(|()| pool::watch(&stream));
+    let set_up = stream
+        .set_nodelay(true)
+        .and_then(|()| pool::set_keepalive(&stream));
     if set_up.is_err() {
         // The caller has left already.
         return;
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -481,6 +481,8 @@
             rebuild(&state);
         }
         let roster = state.roster.borrow();
-        state.pool.expire(|server| roster.get(server).is_some());
+        state
+            .pool
+            .close_expired(|server| roster.get(server).is_some());
     }
 }
--- a/crates/front/src/planner/order.rs
+++ b/crates/front/src/planner/order.rs
@@ -149,7 +149,7 @@
         self.state.metrics.count("orders");
         let body = D::place(order.layers, handover, self.lead.get().token, Some(taken));
         let pool = &self.state.pool;
-        let (status, _) = pool::order::<D>(pool, &order.server, address, body).await?;
+        let (status, _) = pool::send_order::<D>(pool, &order.server, address, body).await?;
         Ok(status)
     }
 }
--- a/crates/front/src/pool.rs
+++ b/crates/front/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers: one request at a time on each, kept for the next.
+//! A pool of HTTP/1 connections to backend servers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -28,117 +28,116 @@
 
 use crate::dialect::Dialect;
 
-/// What is sent to a backend server.
+/// The sending half of a connection.
 pub type Sender = SendRequest<Full<Bytes>>;
 
-/// How long connecting may take. Inside a region the answer takes under 2 ms; a packet that is lost
-/// is sent again after a second, which is later than another server answers.
-const CONNECT: Duration = Duration::from_millis(400);
-/// How long sent bytes may stay unacknowledged before the connection counts as dead.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_500);
-/// How long a connection may be silent before it is probed, and the pause between probes: something
-/// between the two ends may have lost track of it.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// How many probes go unanswered before the connection counts as dead.
-const PROBES: u32 = 2;
-/// How long a connection is kept when the server does not say how long it keeps it.
-const KEPT: Span = Span(4_000);
-/// How much earlier than the server says a connection is given up, so that a request does not cross
-/// the server's close.
-const EARLIER: Span = Span(800);
-/// The most connections kept to one server.
-const MOST_KEPT: usize = 64;
+/// Connect timeout. A lost SYN is retransmitted only after a second; trying another server is
+/// faster.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long sent data may stay unacknowledged before the system closes the connection.
+const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Keepalive idle time and interval; detects connections whose state a middlebox has dropped.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// How many keepalive probes may be lost before the system closes the connection.
+const KEEPALIVE_PROBES: u32 = 2;
+/// How long an idle connection is kept if the server sends no `Keep-Alive` timeout.
+const IDLE_TIMEOUT: Span = Span(4_000);
+/// How long before the server's keep-alive timeout a connection is closed, so that no request races
+/// with the server's close.
+const CLOSE_MARGIN: Span = Span(800);
+/// Maximum idle connections per server.
+const MAX_IDLE: usize = 64;
 
 struct Idle {
     sender: Sender,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Idle connections by backend server.
 #[derive(Clone, Default)]
 pub struct Pool {
     idle: Rc<RefCell<HashMap<Incarnation, Vec<Idle>>>>,
-    dropped: Rc<Dropped>,
+    closed: Rc<Closed>,
 }
 
-/// Servers that closed a connection that rested here.
+/// Servers that closed an idle connection.
 #[derive(Default)]
-struct Dropped {
+struct Closed {
     servers: RefCell<Vec<Incarnation>>,
-    grew: tokio::sync::Notify,
+    changed: tokio::sync::Notify,
 }
 
-/// A connection in use.
+/// A connection checked out of the pool.
 pub struct Lease {
-    /// Sends a request.
+    /// The sending half.
     pub sender: Sender,
-    /// Whether it was kept from an earlier request.
-    pub reused: bool,
+    /// Whether the connection has served an earlier request.
+    pub is_reused: bool,
     server: Incarnation,
     pool: Pool,
 }
 
 impl Pool {
-    /// Returns a connection to a server, a kept one if there is any.
+    /// Returns a connection to a server, an idle one if possible.
     ///
     /// # Errors
     ///
-    /// No connection can be had; nothing was sent.
+    /// Connecting failed; nothing was sent.
     pub async fn lease(&self, server: &Incarnation, address: SocketAddr) -> io::Result<Lease> {
-        if let Some(sender) = self.kept(server) {
-            return Ok(self.leased(server, sender, true));
+        if let Some(sender) = self.take_idle(server) {
+            return Ok(self.new_lease(server, sender, true));
         }
-        self.fresh(server, address).await
+        self.connect(server, address).await
     }
 
-    /// Returns a new connection to a server.
+    /// Opens a new connection to a server.
     ///
     /// # Errors
     ///
-    /// No connection can be had; nothing was sent.
-    pub async fn fresh(&self, server: &Incarnation, address: SocketAddr) -> io::Result<Lease> {
-        let connecting = tokio::time::timeout(CONNECT, TcpStream::connect(address)).await;
+    /// Connecting failed; nothing was sent.
+    pub async fn connect(&self, server: &Incarnation, address: SocketAddr) -> io::Result<Lease> {
+        let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = connecting.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
         stream.set_nodelay(true)?;
-        watch(&stream)?;
+        set_keepalive(&stream)?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         let (pool, name) = (self.clone(), server.clone());
         tokio::task::spawn_local(async move {
-            // Whoever uses the connection hears of its end through the sender.
-            let _ended = connection.await;
-            pool.ended(&name);
+            // A request in flight gets the error through the sender.
+            let _closed = connection.await;
+            pool.connection_closed(&name);
         });
-        Ok(self.leased(server, sender, false))
+        Ok(self.new_lease(server, sender, false))
     }
 
-    fn leased(&self, server: &Incarnation, sender: Sender, reused: bool) -> Lease {
+    fn new_lease(&self, server: &Incarnation, sender: Sender, is_reused: bool) -> Lease {
         Lease {
             sender,
-            reused,
+            is_reused,
             server: server.clone(),
             pool: self.clone(),
         }
     }
 
-    fn kept(&self, server: &Incarnation) -> Option<Sender> {
+    fn take_idle(&self, server: &Incarnation) -> Option<Sender> {
         let now = clock::now();
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(server)?;
         while let Some(connection) = kept.pop() {
-            if connection.until > now && connection.sender.is_ready() {
+            if connection.expires_at > now && connection.sender.is_ready() {
                 return Some(connection.sender);
             }
         }
         None
     }
 
-    /// Books that a connection to a server has ended.
+    /// Handles the end of a connection to a server.
     ///
-    /// Kept connections are given up before the server would close them. One that ends while it rests
-    /// is most often the first sign that the server has crashed: without it, a part in the middle of
-    /// a path is missed only when its streams have been silent for long.
-    fn ended(&self, server: &Incarnation) {
+    /// The pool closes idle connections before the server's keep-alive timeout, so an idle
+    /// connection that the server closes usually indicates a crash. Without this signal, the crash
+    /// of a later part of a path is noticed only after its streams have stalled.
+    fn connection_closed(&self, server: &Incarnation) {
         let mut idle = self.idle.borrow_mut();
         let Some(kept) = idle.get_mut(server) else {
             return;
@@ -146,37 +145,38 @@
         let before = kept.len();
         kept.retain(|connection| !connection.sender.is_closed());
         if kept.len() < before {
-            self.dropped.servers.borrow_mut().push(server.clone());
-            self.dropped.grew.notify_one();
+            self.closed.servers.borrow_mut().push(server.clone());
+            self.closed.changed.notify_one();
         }
     }
 
-    /// Waits until servers have closed connections that rested here; returns them.
-    pub async fn dropped(&self) -> Vec<Incarnation> {
-        self.dropped.grew.notified().await;
-        self.dropped.servers.take()
+    /// Waits until servers close idle connections; returns these servers.
+    pub async fn closed(&self) -> Vec<Incarnation> {
+        self.closed.changed.notified().await;
+        self.closed.servers.take()
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: &Incarnation) {
+    pub fn close_idle(&self, server: &Incarnation) {
         self.idle.borrow_mut().remove(server);
     }
 
-    /// Closes the idle connections whose time is over, and those to servers that are gone.
-    pub fn expire(&self, is_registered: impl Fn(&Incarnation) -> bool) {
+    /// Closes idle connections that have expired or whose server is no longer registered.
+    pub fn close_expired(&self, is_registered: impl Fn(&Incarnation) -> bool) {
         let now = clock::now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|server, kept| {
-            kept.retain(|connection| connection.until > now && !connection.sender.is_closed());
+            kept.retain(|connection| connection.expires_at > now && !connection.sender.is_closed());
             !kept.is_empty() && is_registered(server)
         });
     }
 }
 
 impl Lease {
-    /// Keeps the connection for the next request, once the answer with these headers was read whole.
-    pub fn keep(mut self, headers: &HeaderMap) {
-        let Some(kept) = keep_for(headers) else {
+    /// Returns the connection to the pool, once the response with these headers was read to its
+    /// end.
+    pub fn release(mut self, headers: &HeaderMap) {
+        let Some(timeout) = idle_timeout(headers) else {
             return;
         };
         tokio::task::spawn_local(async move {
@@ -185,21 +185,21 @@
             }
             let mut idle = self.pool.idle.borrow_mut();
             let connections = idle.entry(self.server).or_default();
-            if connections.len() < MOST_KEPT {
+            if connections.len() < MAX_IDLE {
                 connections.push(Idle {
                     sender: self.sender,
-                    until: clock::now().plus(kept),
+                    expires_at: clock::now().plus(timeout),
                 });
             }
         });
     }
 }
 
-/// Makes one call on a connection, and keeps the connection.
+/// Sends a request, reads the whole response, and returns the connection to the pool.
 ///
 /// # Errors
 ///
-/// There is no whole answer; the call may have been acted on.
+/// There is no complete response; the server may have handled the request.
 pub async fn call(
     mut lease: Lease,
     request: Request<Full<Bytes>>,
@@ -207,16 +207,16 @@
     let response = lease.sender.send_request(request).await?;
     let (parts, body) = response.into_parts();
     let body = body.collect().await?.to_bytes();
-    lease.keep(&parts.headers);
+    lease.release(&parts.headers);
     Ok((parts.status, body))
 }
 
-/// Gives an engine an order.
+/// Sends an order to an engine.
 ///
 /// # Errors
 ///
-/// There is no whole answer; the order may have been taken.
-pub async fn order<D: Dialect>(
+/// There is no complete response; the engine may have applied the order.
+pub async fn send_order<D: Dialect>(
     pool: &Pool,
     server: &Incarnation,
     address: SocketAddr,
@@ -230,31 +230,31 @@
     call(lease, request).await
 }
 
-/// Returns how long a connection may be kept; `None` when the server closes it.
-fn keep_for(headers: &HeaderMap) -> Option<Span> {
+/// Returns how long to keep an idle connection; `None` if the server will close it.
+fn idle_timeout(headers: &HeaderMap) -> Option<Span> {
     let connection = headers.get("connection").and_then(|v| v.to_str().ok());
     if connection.is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
         return None;
     }
     let stated = headers.get("keep-alive").and_then(|v| v.to_str().ok());
     let seconds = stated.and_then(|value| {
-        let timeout = value
+        let parameter = value
             .split(',')
             .find_map(|part| part.trim().strip_prefix("timeout="));
-        timeout?.trim().parse::<u64>().ok()
+        parameter?.trim().parse::<u64>().ok()
     });
-    let kept = seconds.map_or(KEPT, |seconds| Span(seconds * 1000));
-    let kept = Span(kept.0.saturating_sub(EARLIER.0));
-    (kept.0 > 0).then_some(kept)
+    let timeout = seconds.map_or(IDLE_TIMEOUT, |seconds| Span(seconds * 1000));
+    let timeout = Span(timeout.0.saturating_sub(CLOSE_MARGIN.0));
+    (timeout.0 > 0).then_some(timeout)
 }
 
-/// Lets the system notice a connection that has gone silent.
-pub fn watch(stream: &TcpStream) -> io::Result<()> {
+/// Enables TCP keepalive and the user timeout, so that the system detects dead connections.
+pub fn set_keepalive(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_AFTER)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -118,13 +118,13 @@
 ) -> anyhow::Result<Bytes> {
     let first = std::pin::pin!(async {
         let lease = state.pool.lease(server, address).await?;
-        let is_kept = lease.reused;
+        let is_kept = lease.is_reused;
         let asked = exchange::<D>(lease, address).await;
         // A kept connection may have been closed meanwhile, which says nothing of the server.
         if asked.is_ok() || !is_kept {
             return asked;
         }
-        exchange::<D>(state.pool.fresh(server, address).await?, address).await
+        exchange::<D>(state.pool.connect(server, address).await?, address).await
     });
     let pause = std::pin::pin!(tokio::time::sleep(AGAIN));
     let first = match select(first, pause).await {
@@ -132,7 +132,7 @@
         Either::Right(((), first)) => first,
     };
     let second = std::pin::pin!(async {
-        exchange::<D>(state.pool.fresh(server, address).await?, address).await
+        exchange::<D>(state.pool.connect(server, address).await?, address).await
     });
     match select(first, second).await {
         Either::Left((Ok(body), _)) | Either::Right((Ok(body), _)) => Ok(body),
@@ -241,7 +241,7 @@
 /// Asks servers that closed a connection that rested, until the process ends.
 pub async fn follow_dropped<D: Dialect>(state: Rc<State<D>>) {
     loop {
-        for server in state.pool.dropped().await {
+        for server in state.pool.closed().await {
             if let Some(address) = state.address(&server) {
                 doubt(&state, server, address);
             }
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its answer.
+//! Handling of one request, from its arrival to its response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -31,35 +31,35 @@
 use crate::upstream::Outgoing;
 use crate::whole;
 
-/// When to come back to an entry that is starting: it reads the store within some milliseconds.
-const STARTING: Span = Span(300);
-/// After how long a start takes longer because the store is away.
+/// `Retry-After` while the entry starts, which takes some milliseconds while the store is up.
+const RETRY_AFTER_STARTING: Span = Span(300);
+/// A start that takes longer than this is assumed to be waiting for an unavailable store.
 const SLOW_START: Span = Span(500);
-/// When to come back then, in milliseconds: outages last some seconds, most callers come back just
-/// once, and they wait no longer than a third of the time that they have.
-const AWAY_MS: std::ops::Range<u64> = 2_000..5_000;
-/// When to come back after an entry turned a request away because it stops: another one answers.
-const STOPPING: Span = Span(50);
-/// How long a pause inside a body may last; callers send theirs in one go.
-const BODY_PAUSE: Duration = Duration::from_secs(3);
+/// Range of `Retry-After` during a store outage. Most clients retry only once, and outages last
+/// seconds.
+const RETRY_AFTER_OUTAGE_MS: std::ops::Range<u64> = 2_000..5_000;
+/// `Retry-After` while the entry shuts down; other entries can serve the request.
+const RETRY_AFTER_STOPPING: Span = Span(50);
+/// Maximum pause between two frames of a request body.
+const BODY_PAUSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A request that may be served.
+/// A request that passed routing and authentication.
 pub struct Admitted {
-    /// Its identifier, as the caller sent it.
+    /// The request identifier from the client.
     pub id: Arc<str>,
     /// The route.
     pub route: Arc<Route>,
     /// The service.
     pub service: Service,
-    /// Whose it is; nobody's where no keys are asked for.
+    /// The customer; empty on public routes and if no accounts are configured.
     pub customer: Customer,
-    /// Its rank; 0 goes first.
+    /// The priority; 0 is the highest.
     pub priority: u64,
-    /// What is sent to a backend server.
+    /// The request to the backend server.
     pub outgoing: Outgoing,
-    /// When it arrived.
+    /// The arrival time.
     pub arrived: Instant,
-    /// When the answer must be there.
+    /// When the response is due.
     pub deadline: Instant,
 }
 
@@ -67,7 +67,7 @@
 pub struct Guard<D>(Rc<State<D>>);
 
 impl<D> Guard<D> {
-    /// Counts one more.
+    /// Increments the count.
     pub fn new(state: &Rc<State<D>>) -> Self {
         state.in_flight.set(state.in_flight.get() + 1);
         Self(state.clone())
@@ -106,17 +106,19 @@
 
 fn refuse<D>(state: &State<D>, id: &str, reason: Reason, arrived: Instant) -> Response<Body<D>> {
     let retry_after = match reason {
-        Reason::Starting if clock::now().since(state.started) < SLOW_START => Some(STARTING),
-        Reason::Starting => Some(Span(rand::random_range(AWAY_MS))),
-        Reason::Stopping => Some(STOPPING),
+        Reason::Starting if clock::now().since(state.started) < SLOW_START => {
+            Some(RETRY_AFTER_STARTING)
+        }
+        Reason::Starting => Some(Span(rand::random_range(RETRY_AFTER_OUTAGE_MS))),
+        Reason::Stopping => Some(RETRY_AFTER_STOPPING),
         _ => None,
     };
-    done(state, id, "-", reason, arrived, "-");
-    answer::own(reason, retry_after)
+    record_refusal(state, id, "-", reason, arrived, "-");
+    answer::local(reason, retry_after)
 }
 
-/// Books and logs a request that the entry answered itself.
-pub fn done<D>(
+/// Records a request that the entry responded to itself.
+pub fn record_refusal<D>(
     state: &State<D>,
     id: &str,
     route: &str,
@@ -126,11 +128,11 @@
 ) {
     state.metrics.count("requests_refused");
     state.metrics.count(reason.name());
-    let took = clock::now().since(arrived);
+    let elapsed = clock::now().since(arrived);
     let version = state.table().map_or(0, |table| table.document.version.0);
     let status = reason.status().as_u16();
     log::warn!(
-        "event=refused request={id} route={route} reason={} status={status} took_ms={took} \
+        "event=refused request={id} route={route} reason={} status={status} took_ms={elapsed} \
          version={version} cause={cause}",
         reason.name()
     );
@@ -152,11 +154,11 @@
     let host = head::text(request.headers(), &HOST).ok_or(Reason::Malformed)?;
     let route = table.route(host, request.uri().path()).cloned();
     let route = route.ok_or(Reason::NoRoute)?;
-    let account = account::<D>(&table, &request, &route)?;
+    let account = authenticate::<D>(&table, &request, &route)?;
     let (parts, body) = request.into_parts();
-    let body = read(body, table.document.limits.body_bytes).await?;
-    let patience = head::number(&parts.headers, &D::NAMES.deadline).map(Span);
-    let patience = patience.map_or(route.timeout, |patience| patience.min(route.timeout));
+    let body = read_body(body, table.document.limits.body_bytes).await?;
+    let timeout = head::number(&parts.headers, &D::NAMES.deadline).map(Span);
+    let timeout = timeout.map_or(route.timeout, |timeout| timeout.min(route.timeout));
     let service = route
         .target(rand::random())
         .ok_or(Reason::NoServer)?
@@ -182,11 +184,11 @@
             body,
         },
         arrived,
-        deadline: arrived.plus(patience),
+        deadline: arrived.plus(timeout),
     })
 }
 
-fn account<D: Dialect>(
+fn authenticate<D: Dialect>(
     table: &Table,
     request: &Request<Incoming>,
     route: &Route,
@@ -199,11 +201,11 @@
     Ok(Some(account.clone()))
 }
 
-async fn read(mut body: Incoming, most: u64) -> Result<Bytes, Reason> {
+async fn read_body(mut body: Incoming, max_bytes: u64) -> Result<Bytes, Reason> {
     let mut first: Option<Bytes> = None;
-    let mut joined = BytesMut::new();
+    let mut buffer = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(BODY_PAUSE, body.frame()).await;
+        let frame = tokio::time::timeout(BODY_PAUSE_TIMEOUT, body.frame()).await;
         let Some(frame) = frame.map_err(|_| Reason::SlowBody)? else {
             break;
         };
@@ -211,19 +213,19 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        let so_far = first.as_ref().map_or(0, Bytes::len).max(joined.len());
-        if (so_far + data.len()) as u64 > most {
+        let received = first.as_ref().map_or(0, Bytes::len).max(buffer.len());
+        if (received + data.len()) as u64 > max_bytes {
             return Err(Reason::TooLarge);
         }
         match first.take() {
-            // Most bodies come in one piece, which needs no copy.
-            None if joined.is_empty() => first = Some(data),
-            None => joined.extend_from_slice(&data),
-            Some(earlier) => {
-                joined.extend_from_slice(&earlier);
-                joined.extend_from_slice(&data);
+            // Most bodies arrive in one frame and need no copy.
+            None if buffer.is_empty() => first = Some(data),
+            None => buffer.extend_from_slice(&data),
+            Some(first) => {
+                buffer.extend_from_slice(&first);
+                buffer.extend_from_slice(&data);
             }
         }
     }
-    Ok(first.unwrap_or_else(|| joined.freeze()))
+    Ok(first.unwrap_or_else(|| buffer.freeze()))
 }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -235,7 +235,7 @@
     /// Suspects a backend server.
     pub fn accuse(&self, server: &Incarnation, cause: &str) {
         let fresh = self.suspicion.borrow_mut().accuse(clock::now(), server);
-        self.pool.forget(server);
+        self.pool.close_idle(server);
         if fresh {
             self.load.borrow_mut().lost(clock::now(), server);
             self.is_news.notify_waiters();
--- a/crates/front/src/stream/live.rs
+++ b/crates/front/src/stream/live.rs
@@ -164,7 +164,7 @@
         );
         if let Upstream::Reading { lease, headers, .. } = &mut self.upstream {
             if let Some(lease) = lease.take() {
-                lease.keep(headers);
+                lease.release(headers);
             }
         }
         self.upstream = Upstream::Done;
--- a/crates/front/src/stream/mod.rs
+++ b/crates/front/src/stream/mod.rs
@@ -117,8 +117,8 @@
         Ok(place) => place,
         Err(come_back) => {
             let (route, reason) = (&stream.route.name, Reason::Overloaded);
-            request::done(&state, &stream.id, route, reason, stream.arrived, "no-room");
-            return answer::own(reason, Some(come_back));
+            request::record_refusal(&state, &stream.id, route, reason, stream.arrived, "no-room");
+            return answer::local(reason, Some(come_back));
         }
     };
     match open(&state, &stream, last, open::Answer::Ahead).await {
@@ -149,8 +149,8 @@
                 _ => None,
             };
             let route = &stream.route.name;
-            request::done(&state, &stream.id, route, reason, stream.arrived, &cause);
-            answer::own(reason, retry_after)
+            request::record_refusal(&state, &stream.id, route, reason, stream.arrived, &cause);
+            answer::local(reason, retry_after)
         }
     }
 }
--- a/crates/front/src/upstream.rs
+++ b/crates/front/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One exchange with a backend server.
+//! A single request-response exchange with a backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use crate::pool::Lease;
 use crate::pool::Pool;
 
-/// A request as it is sent, and sent again.
+/// A request to a backend server; retries send the same one.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
     /// The method.
     pub method: Method,
-    /// Path and query, as the caller sent them.
+    /// The path and query from the client.
     pub uri: Uri,
     /// The headers.
     pub headers: HeaderMap,
@@ -32,27 +32,27 @@
     pub body: Bytes,
 }
 
-/// An answer's head, with its body still to come on a leased connection.
+/// A response whose body has not been read yet.
 pub struct Incomplete {
-    /// The head and the body.
+    /// The head and the unread body.
     pub response: Response<Incoming>,
-    /// The connection; to be kept when the body was read whole.
+    /// The connection; returned to the pool once the body was read to its end.
     pub lease: Lease,
 }
 
-/// Why there is no answer to pass on.
+/// Why there is no response to forward.
 #[derive(Debug)]
 pub enum Failure {
-    /// Nothing was sent: the backend server cannot be reached.
+    /// Nothing was sent; the backend server is unreachable.
     NotSent(String),
-    /// The backend server says that it has not run the request.
+    /// The backend server reports that it did not run the request.
     NotRun {
-        /// Its status.
+        /// The response status.
         status: StatusCode,
-        /// The part of the path that it names.
+        /// The address of the part of the path that caused the rejection, if reported.
         at_fault: Option<SocketAddr>,
     },
-    /// The backend server ran the request and answered that it failed.
+    /// The backend server ran the request and returned an error.
     Failed(StatusCode),
     /// The backend server may have run the request.
     Unknown(String),
@@ -61,7 +61,7 @@
 impl std::fmt::Display for Failure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::NotSent(why) => write!(f, "not-sent({why})"),
+            Self::NotSent(cause) => write!(f, "not-sent({cause})"),
             Self::NotRun { status, at_fault } => {
                 let status = status.as_u16();
                 match at_fault {
@@ -70,19 +70,19 @@
                 }
             }
             Self::Failed(status) => write!(f, "failed({})", status.as_u16()),
-            Self::Unknown(why) => write!(f, "unknown({why})"),
+            Self::Unknown(cause) => write!(f, "unknown({cause})"),
         }
     }
 }
 
-/// How long reading the rest of a refusal may take before its connection is dropped instead.
-const REFUSAL: Duration = Duration::from_millis(50);
+/// How long to read the body of a rejection before closing its connection instead.
+const REJECTION_READ_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Sends a request to one backend server and waits for the head of its answer.
+/// Sends a request to a backend server and waits for the response head.
 ///
 /// # Errors
 ///
-/// There is none, or it says that the request has not run.
+/// There is no usable response, or the server reports that it did not run the request.
 pub async fn send<D: Dialect>(
     pool: &Pool,
     server: &Incarnation,
@@ -91,26 +91,26 @@
 ) -> Result<Incomplete, Failure> {
     let mut lease = lease(pool, server, address).await?;
     loop {
-        let request = request::<D>(server, outgoing);
-        let reused = lease.reused;
+        let request = build_request::<D>(server, outgoing);
+        let is_reused = lease.is_reused;
         let sent = lease.sender.try_send_request(request).await;
         let response = match sent {
             Ok(response) => response,
             Err(mut error) => {
-                // The message comes back only when not a byte of it was written.
-                let unsent = error.take_message().is_some();
-                let why = error.into_error().to_string();
-                if !unsent {
-                    return Err(Failure::Unknown(why));
+                // hyper returns the message only if no byte of it was written.
+                let is_unsent = error.take_message().is_some();
+                let cause = error.into_error().to_string();
+                if !is_unsent {
+                    return Err(Failure::Unknown(cause));
                 }
-                if !reused {
-                    return Err(Failure::NotSent(why));
+                if !is_reused {
+                    return Err(Failure::NotSent(cause));
                 }
-                lease = fresh(pool, server, address).await?;
+                lease = connect(pool, server, address).await?;
                 continue;
             }
         };
-        return accept::<D>(lease, response, &outgoing.headers).await;
+        return check_response::<D>(lease, response, &outgoing.headers).await;
     }
 }
 
@@ -119,12 +119,12 @@
     lease.map_err(|error| Failure::NotSent(error.to_string()))
 }
 
-async fn fresh(pool: &Pool, server: &Incarnation, address: SocketAddr) -> Result<Lease, Failure> {
-    let lease = pool.fresh(server, address).await;
+async fn connect(pool: &Pool, server: &Incarnation, address: SocketAddr) -> Result<Lease, Failure> {
+    let lease = pool.connect(server, address).await;
     lease.map_err(|error| Failure::NotSent(error.to_string()))
 }
 
-fn request<D: Dialect>(server: &Incarnation, outgoing: &Outgoing) -> Request<Full<Bytes>> {
+fn build_request<D: Dialect>(server: &Incarnation, outgoing: &Outgoing) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
@@ -137,11 +137,11 @@
     request
 }
 
-/// Checks that an answer belongs to the request.
+/// Checks that a response belongs to the request.
 ///
-/// A faulty server sends a second answer late, at the point where the next one is expected. Taken
-/// for that, it would reach another caller; the identifier tells them apart.
-async fn accept<D: Dialect>(
+/// Compares request identifiers, so that a late duplicate response on a reused connection is not
+/// forwarded to another client.
+async fn check_response<D: Dialect>(
     lease: Lease,
     response: Response<Incoming>,
     sent: &HeaderMap,
@@ -149,31 +149,33 @@
     let names = D::NAMES;
     let headers = response.headers();
     let status = response.status();
-    let own = headers.get(&names.request) == sent.get(&names.request);
-    if !own {
+    let is_own = headers.get(&names.request) == sent.get(&names.request);
+    if !is_own {
         return Err(Failure::Unknown(
-            "the answer belongs to another request".into(),
+            "response belongs to another request".into(),
         ));
     }
     if headers.contains_key(&names.not_run) || status == StatusCode::MISDIRECTED_REQUEST {
         let at_fault = head::text(headers, &names.server_at_fault);
         let at_fault = at_fault.and_then(|text| text.trim().parse().ok());
-        drain(lease, response).await;
+        discard_body(lease, response).await;
         return Err(Failure::NotRun { status, at_fault });
     }
     if status.is_success() && !headers.contains_key(&names.signature) {
-        return Err(Failure::Unknown("a success without a signature".into()));
+        return Err(Failure::Unknown(
+            "successful response has no signature".into(),
+        ));
     }
     Ok(Incomplete { response, lease })
 }
 
-/// Reads a refusal to its end, so that its connection can be kept.
-async fn drain(lease: Lease, response: Response<Incoming>) {
+/// Reads the body of a rejection, so that its connection can be reused.
+async fn discard_body(lease: Lease, response: Response<Incoming>) {
     use http_body_util::BodyExt;
 
     let (parts, body) = response.into_parts();
-    let read = tokio::time::timeout(REFUSAL, body.collect()).await;
+    let read = tokio::time::timeout(REJECTION_READ_TIMEOUT, body.collect()).await;
     if matches!(read, Ok(Ok(_))) {
-        lease.keep(&parts.headers);
+        lease.release(&parts.headers);
     }
 }
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -314,7 +314,7 @@
         return Repaired::Done;
     }
     let body = D::repath(&stream.id, &choice.path);
-    let asked = pool::order::<D>(&state.pool, &first.server, first.address, body);
+    let asked = pool::send_order::<D>(&state.pool, &first.server, first.address, body);
     let answer = tokio::time::timeout(REPAIR, asked).await;
     let (status, body) = match answer {
         Ok(Ok(answer)) => answer,
--- a/crates/front/src/whole.rs
+++ b/crates/front/src/whole.rs
@@ -88,7 +88,7 @@
         // A request that no server was sent would have been refused before.
         Err(_late) => (Reason::Late, String::from("deadline"), None),
     };
-    request::done(
+    request::record_refusal(
         state,
         &request.id,
         &request.route.name,
@@ -96,7 +96,7 @@
         arrived,
         &cause,
     );
-    answer::own(reason, retry_after)
+    answer::local(reason, retry_after)
 }
 
 fn pass<D: Dialect>(state: &State<D>, request: &Admitted, answer: Answer) -> Response<Body<D>> {
@@ -110,7 +110,7 @@
     );
     let mut parts = answer.parts;
     head::strip(&mut parts.headers);
-    Response::from_parts(parts, Body::whole(answer.body))
+    Response::from_parts(parts, Body::buffered(answer.body))
 }
 
 type GivenUp = (Reason, String, Option<Span>);
@@ -359,7 +359,7 @@
             let (parts, body) = incomplete.response.into_parts();
             match body.collect().await {
                 Ok(body) => {
-                    incomplete.lease.keep(&parts.headers);
+                    incomplete.lease.release(&parts.headers);
                     let body = body.to_bytes();
                     Ok(Answer { parts, body })
                 }
