--- a/crates/front/src/stream/live.rs
+++ b/crates/front/src/stream/live.rs
@@ -19,7 +19,7 @@
 use crate::dialect::Dialect;
 use crate::request::Guard;
 use crate::upstream::Incomplete;
-use crate::waiting::Place;
+use crate::waiting::Permit;
 
 use super::booking::Kept;
 use super::booking::Registration;
@@ -60,9 +60,9 @@
     /// Whether the body is events, rather than a backend server's own failure.
     pub(super) is_events: bool,
     pub(super) registration: Registration<D>,
-    #[expect(dead_code, reason = "makes room for others when it is dropped")]
-    pub(super) place: Place<D>,
-    #[expect(dead_code, reason = "counts the request in flight until it is dropped")]
+    #[expect(dead_code, reason = "frees its slot when dropped")]
+    pub(super) permit: Permit<D>,
+    #[expect(dead_code, reason = "counts the request in flight until dropped")]
     pub(super) guard: Guard<D>,
     pub(super) relay: Relay,
     pub(super) upstream: Upstream,
--- a/crates/front/src/stream/mod.rs
+++ b/crates/front/src/stream/mod.rs
@@ -105,7 +105,7 @@
         opener: AtomicWaker::new(),
     });
     let registration = Registration::new(&state, &stream);
-    let ask = waiting::Ask {
+    let admission = waiting::Request {
         id: &stream.id,
         service: &stream.service,
         customer: &request.customer,
@@ -113,12 +113,12 @@
         need,
         target: stream.route.target,
     };
-    let place = match waiting::admit(&state, ask).await {
-        Ok(place) => place,
-        Err(come_back) => {
+    let permit = match waiting::admit(&state, admission).await {
+        Ok(permit) => permit,
+        Err(retry_after) => {
             let (route, reason) = (&stream.route.name, Reason::Overloaded);
             request::record_refusal(&state, &stream.id, route, reason, stream.arrived, "no-room");
-            return answer::local(reason, Some(come_back));
+            return answer::local(reason, Some(retry_after));
         }
     };
     match open(&state, &stream, last, open::Answer::Ahead).await {
@@ -133,7 +133,7 @@
             let live = Live {
                 is_events: is_events(parts.status, &parts.headers),
                 registration,
-                place,
+                permit,
                 guard,
                 relay: Relay::after(last),
                 upstream,
--- a/crates/front/src/waiting.rs
+++ b/crates/front/src/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait until a path has room for them.
+//! Admission queues for requests that wait for capacity on a path.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -14,6 +14,7 @@
 use jujube_core::name::Customer;
 use jujube_core::name::Service;
 use jujube_core::pipeline::chooser::Need;
+use jujube_core::time::Instant;
 use jujube_core::time::Span;
 use jujube_program::clock;
 use tokio::sync::oneshot;
@@ -21,34 +22,34 @@
 use crate::state::State;
 use crate::stream;
 
-/// The share of the time to the first event that a request may wait for room; reading its prompt
-/// takes most of the rest.
-const WAIT_SHARE: f64 = 0.6;
-/// How often waiting requests are looked through; room is made by the end of any stream.
-const LOOK: Duration = Duration::from_millis(10);
-/// What one request is taken to last before any has ended; a calm row of fast accelerators.
-const FIRST_GUESS: Span = Span(1_500);
-/// A bound on requests of one customer at one entry, far over what engines take.
-const MOST: u64 = 10_000;
+/// Share of the first-event target that a request may spend in the queue; prefill takes most of the
+/// rest.
+const MAX_WAIT_SHARE: f64 = 0.6;
+/// How often the queues are checked; the end of any stream may free capacity.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Assumed duration of a request until one has completed.
+const INITIAL_DURATION: Span = Span(1_500);
+/// Maximum requests of one customer at one entry; far above what engines can serve.
+const MAX_REQUESTS_PER_CUSTOMER: u64 = 10_000;
 
 struct Waiter {
     need: Need,
     admitted: oneshot::Sender<()>,
 }
 
-struct Line {
+struct ServiceQueue {
     queue: Queue,
     waiters: BTreeMap<Ticket, Waiter>,
-    /// The next to start, for which there was no room yet. Smaller requests behind it wait too:
-    /// else a large one would never find room under load.
+    /// The request at the head, which is waiting for capacity. Requests behind it wait too, even if
+    /// smaller; otherwise a large request would starve under load.
     head: Option<Ticket>,
 }
 
-impl Default for Line {
+impl Default for ServiceQueue {
     fn default() -> Self {
         let settings = Settings {
             slots: 0,
-            first_guess: FIRST_GUESS,
+            first_guess: INITIAL_DURATION,
             ..Settings::default()
         };
         Self {
@@ -59,136 +60,141 @@
     }
 }
 
-/// The queues of all models at this entry.
+/// The admission queues of all models at this entry.
 #[derive(Default)]
 pub struct Waiting {
-    lines: RefCell<BTreeMap<Service, Line>>,
+    queues: RefCell<BTreeMap<Service, ServiceQueue>>,
     next: Cell<u64>,
 }
 
 impl Waiting {
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
-        let lines = self.lines.borrow();
-        lines.values().map(|line| line.waiters.len()).sum()
+        let queues = self.queues.borrow();
+        queues
+            .values()
+            .map(|service_queue| service_queue.waiters.len())
+            .sum()
     }
 }
 
-/// A request that was admitted; it makes room when it is dropped.
-pub struct Place<D> {
+/// An admitted request; frees its slot when dropped.
+pub struct Permit<D> {
     state: Rc<State<D>>,
     service: Service,
     customer: Customer,
-    started: jujube_core::time::Instant,
+    started: Instant,
 }
 
-impl<D> Drop for Place<D> {
+impl<D> Drop for Permit<D> {
     fn drop(&mut self) {
-        let lasted = clock::now().since(self.started);
-        let mut lines = self.state.waiting.lines.borrow_mut();
-        if let Some(line) = lines.get_mut(&self.service) {
-            line.queue.finish(&self.customer, Some(lasted));
+        let duration = clock::now().since(self.started);
+        let mut queues = self.state.waiting.queues.borrow_mut();
+        if let Some(service_queue) = queues.get_mut(&self.service) {
+            service_queue.queue.finish(&self.customer, Some(duration));
         }
     }
 }
 
-/// What is asked of the queue.
-pub struct Ask<'a> {
+/// A request for admission.
+pub struct Request<'a> {
     /// The request's identifier.
     pub id: &'a str,
     /// The model's service.
     pub service: &'a Service,
-    /// Whose request it is.
+    /// The customer.
     pub customer: &'a Customer,
-    /// Its rank; 0 goes first.
+    /// The priority; 0 is the highest.
     pub priority: u64,
-    /// What it needs.
+    /// The tokens that it needs.
     pub need: Need,
-    /// How soon its first event is on time.
+    /// The target for the time to the first event.
     pub target: Span,
 }
 
-/// Waits until there is room for a request.
+/// Waits until there is capacity for a request.
 ///
 /// # Errors
 ///
-/// It could not start in time; when to come back.
-pub async fn admit<D>(state: &Rc<State<D>>, ask: Ask<'_>) -> Result<Place<D>, Span> {
+/// The request was rejected or waited too long; returns when to retry.
+pub async fn admit<D>(state: &Rc<State<D>>, request: Request<'_>) -> Result<Permit<D>, Span> {
     let arrived = clock::now();
     let ticket = Ticket(state.waiting.next.get());
     state.waiting.next.set(ticket.0 + 1);
     let share = Share {
-        customer: ask.customer.clone(),
+        customer: request.customer.clone(),
         weight: 1,
-        limit: MOST,
-        priority: ask.priority,
-        max_wait: Span((ask.target.0 as f64 * WAIT_SHARE) as u64),
+        limit: MAX_REQUESTS_PER_CUSTOMER,
+        priority: request.priority,
+        max_wait: Span((request.target.0 as f64 * MAX_WAIT_SHARE) as u64),
     };
-    let has_room = has_room(state, ask.service, ask.need);
-    let waits = arrive(state, &ask, &share, ticket, has_room)?;
-    let Some(admitted) = waits else {
-        return Ok(place(state, &ask));
+    let has_capacity = has_capacity(state, request.service, request.need);
+    let waiting = enqueue(state, &request, &share, ticket, has_capacity)?;
+    let Some(admitted) = waiting else {
+        return Ok(permit(state, &request));
     };
-    let patience = Duration::from_millis(share.max_wait.0);
+    let max_wait = Duration::from_millis(share.max_wait.0);
     let cancel = Cancel {
         state,
-        service: ask.service,
-        customer: ask.customer,
+        service: request.service,
+        customer: request.customer,
         ticket,
     };
-    let outcome = tokio::time::timeout(patience, admitted).await;
+    let outcome = tokio::time::timeout(max_wait, admitted).await;
     if matches!(outcome, Ok(Ok(()))) {
         std::mem::forget(cancel);
         let waited = clock::now().since(arrived);
         state.metrics.observe("queue", waited);
-        log::info!("event=admitted request={} waited_ms={waited}", ask.id);
-        return Ok(place(state, &ask));
+        log::info!("event=admitted request={} waited_ms={waited}", request.id);
+        return Ok(permit(state, &request));
     }
-    Err(come_back(state, ask.service))
+    Err(retry_after(state, request.service))
 }
 
-fn place<D>(state: &Rc<State<D>>, ask: &Ask<'_>) -> Place<D> {
-    Place {
+fn permit<D>(state: &Rc<State<D>>, request: &Request<'_>) -> Permit<D> {
+    Permit {
         state: state.clone(),
-        service: ask.service.clone(),
-        customer: ask.customer.clone(),
+        service: request.service.clone(),
+        customer: request.customer.clone(),
         started: clock::now(),
     }
 }
 
-fn arrive<D>(
+fn enqueue<D>(
     state: &State<D>,
-    ask: &Ask<'_>,
+    request: &Request<'_>,
     share: &Share,
     ticket: Ticket,
-    has_room: bool,
+    has_capacity: bool,
 ) -> Result<Option<oneshot::Receiver<()>>, Span> {
-    let mut lines = state.waiting.lines.borrow_mut();
-    let line = lines.entry(ask.service.clone()).or_default();
-    let running = line.queue.running();
-    line.queue.set_slots(running + u64::from(has_room));
-    match line.queue.arrive(clock::now(), ticket, share) {
+    let mut queues = state.waiting.queues.borrow_mut();
+    let service_queue = queues.entry(request.service.clone()).or_default();
+    let running = service_queue.queue.running();
+    service_queue
+        .queue
+        .set_slots(running + u64::from(has_capacity));
+    match service_queue.queue.arrive(clock::now(), ticket, share) {
         Decision::Start => Ok(None),
-        Decision::Refuse(refusal) => Err(refusal.retry_after.unwrap_or(FIRST_GUESS)),
+        Decision::Refuse(refusal) => Err(refusal.retry_after.unwrap_or(INITIAL_DURATION)),
         Decision::Wait => {
             let (admitted, receiver) = oneshot::channel();
             let waiter = Waiter {
-                need: ask.need,
+                need: request.need,
                 admitted,
             };
-            line.waiters.insert(ticket, waiter);
+            service_queue.waiters.insert(ticket, waiter);
             state.metrics.count("requests_queued");
             log::info!(
                 "event=queued request={} waiting={} running={running}",
-                ask.id,
-                line.waiters.len()
+                request.id,
+                service_queue.waiters.len()
             );
             Ok(Some(receiver))
         }
     }
 }
 
-/// Takes a request out of the queue whose caller has left or whose wait is over.
+/// Removes a request from the queue if its client disconnects or its wait times out.
 struct Cancel<'a, D> {
     state: &'a Rc<State<D>>,
     service: &'a Service,
@@ -198,49 +204,51 @@
 
 impl<D> Drop for Cancel<'_, D> {
     fn drop(&mut self) {
-        let mut lines = self.state.waiting.lines.borrow_mut();
-        let Some(line) = lines.get_mut(self.service) else {
+        let mut queues = self.state.waiting.queues.borrow_mut();
+        let Some(service_queue) = queues.get_mut(self.service) else {
             return;
         };
-        line.waiters.remove(&self.ticket);
-        if line.head == Some(self.ticket) {
-            line.head = None;
-            line.queue.finish(self.customer, None);
-        } else if !line.queue.cancel(self.customer, self.ticket) {
-            // It was admitted in the moment in which its caller left.
-            line.queue.finish(self.customer, None);
+        service_queue.waiters.remove(&self.ticket);
+        if service_queue.head == Some(self.ticket) {
+            service_queue.head = None;
+            service_queue.queue.finish(self.customer, None);
+        } else if !service_queue.queue.cancel(self.customer, self.ticket) {
+            // The request was admitted just as its client disconnected.
+            service_queue.queue.finish(self.customer, None);
         }
     }
 }
 
-/// Returns when a refused request should come back: spread over the time that a request lasts, so
-/// that those refused together do not return together.
-fn come_back<D>(state: &State<D>, service: &Service) -> Span {
-    let lines = state.waiting.lines.borrow();
-    let waiting = lines
+/// Returns when a rejected request should retry; randomized, so that requests rejected together do
+/// not retry together.
+fn retry_after<D>(state: &State<D>, service: &Service) -> Span {
+    let queues = state.waiting.queues.borrow();
+    let waiting = queues
         .get(service)
-        .map_or(0, |line| line.waiters.len() as u64);
-    let spread = rand::random_range(0..FIRST_GUESS.0);
-    Span(FIRST_GUESS.0 / 2 + spread + waiting * 10)
+        .map_or(0, |service_queue| service_queue.waiters.len() as u64);
+    let spread = rand::random_range(0..INITIAL_DURATION.0);
+    Span(INITIAL_DURATION.0 / 2 + spread + waiting * 10)
 }
 
-fn has_room<D>(state: &State<D>, service: &Service, need: Need) -> bool {
+fn has_capacity<D>(state: &State<D>, service: &Service, need: Need) -> bool {
     let choice = stream::choose_with(state, service, &[], 1.0, |fleet, view| {
         fleet.choose(need, view)
     });
-    // Without any path there is nothing to wait for here; the request is answered at once.
+    // Without any path, waiting does not help; the request fails immediately.
     choice
         .flatten()
         .is_none_or(|choice| !choice.lacks_room() || choice.is_forced())
 }
 
-/// Admits waiting requests as room is made, until the process ends.
+/// Admits waiting requests as capacity becomes available. Never returns.
 pub async fn run<D>(state: Rc<State<D>>) {
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let services: Vec<Service> = {
-            let lines = state.waiting.lines.borrow();
-            let busy = lines.iter().filter(|(_, line)| !line.waiters.is_empty());
+            let queues = state.waiting.queues.borrow();
+            let busy = queues
+                .iter()
+                .filter(|(_, service_queue)| !service_queue.waiters.is_empty());
             busy.map(|(service, _)| service.clone()).collect()
         };
         for service in services {
@@ -249,33 +257,33 @@
     }
 }
 
-/// Admits the next request of a service; `false` when there is none or no room for it.
+/// Admits the next request of a service; returns `false` if there is none or no capacity for it.
 fn admit_next<D>(state: &State<D>, service: &Service) -> bool {
-    let Some((ticket, need)) = next(state, service) else {
+    let Some((ticket, need)) = next_waiting(state, service) else {
         return false;
     };
-    if !has_room(state, service, need) {
+    if !has_capacity(state, service, need) {
         return false;
     }
-    let mut lines = state.waiting.lines.borrow_mut();
-    let Some(line) = lines.get_mut(service) else {
+    let mut queues = state.waiting.queues.borrow_mut();
+    let Some(service_queue) = queues.get_mut(service) else {
         return false;
     };
-    line.head = None;
-    let waiter = line.waiters.remove(&ticket);
-    // A caller that has left takes its request back itself.
+    service_queue.head = None;
+    let waiter = service_queue.waiters.remove(&ticket);
+    // If the client has disconnected, `Cancel` frees the slot.
     waiter.is_some_and(|waiter| waiter.admitted.send(()).is_ok())
 }
 
-fn next<D>(state: &State<D>, service: &Service) -> Option<(Ticket, Need)> {
-    let mut lines = state.waiting.lines.borrow_mut();
-    let line = lines.get_mut(service)?;
-    if line.head.is_none() {
-        let running = line.queue.running();
-        line.queue.set_slots(running + 1);
-        line.head = line.queue.pop(clock::now());
+fn next_waiting<D>(state: &State<D>, service: &Service) -> Option<(Ticket, Need)> {
+    let mut queues = state.waiting.queues.borrow_mut();
+    let service_queue = queues.get_mut(service)?;
+    if service_queue.head.is_none() {
+        let running = service_queue.queue.running();
+        service_queue.queue.set_slots(running + 1);
+        service_queue.head = service_queue.queue.pop(clock::now());
     }
-    let ticket = line.head?;
-    let need = line.waiters.get(&ticket)?.need;
+    let ticket = service_queue.head?;
+    let need = service_queue.waiters.get(&ticket)?.need;
     Some((ticket, need))
 }
