--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -89,8 +89,8 @@
     tokio::task::spawn_local(slack::run(state.clone(), store));
     tokio::task::spawn_local(retries(state.clone()));
     tokio::task::spawn_local(gossip::run(state.clone(), gossip));
-    tokio::task::spawn_local(probe::follow_suspects(state.clone()));
-    tokio::task::spawn_local(probe::follow_dropped(state.clone()));
+    tokio::task::spawn_local(probe::probe_suspects(state.clone()));
+    tokio::task::spawn_local(probe::check_closed(state.clone()));
     tokio::task::spawn_local(watchdog::run(state.clone()));
     tokio::task::spawn_local(waiting::run(state.clone()));
     tokio::task::spawn_local(reload::run(state.clone()));
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -266,6 +266,6 @@
         return;
     }
     if let Some(address) = state.address(&server) {
-        probe::doubt(state, server, address);
+        probe::check(state, server, address);
     }
 }
--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -1,4 +1,4 @@
-//! Questions to backend servers: are you there, and what do you hold.
+//! Health checks of backend servers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,114 +25,111 @@
 use crate::pool::Lease;
 use crate::state::State;
 
-/// How long a server may take to answer; its report needs no slot, and the way there and back takes
-/// two milliseconds.
-const ANSWER: Duration = Duration::from_millis(100);
-/// After how long it is asked once more, on a new connection: a packet may have been lost, which is
-/// sent again only after two tenths of a second, or the kept connection may have fallen silent. Of a
-/// link that loses three packets in a hundred, two in a row are lost once in some hundred questions.
-const AGAIN: Duration = Duration::from_millis(40);
-/// How long an answer stands for the next one who asks. A dying server stalls many streams at once;
-/// they need one question, not one each.
-const STANDS: Span = Span(400);
-/// From how many times its usual time on a server counts as slow.
-const SLOW: f64 = 2.0;
+/// Probe timeout; a report needs no slot, and a round trip takes two milliseconds.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
+/// When a second probe is sent, on a new connection: before a lost packet would be retransmitted,
+/// and in case the pooled connection is dead.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(40);
+/// How long a result is reused, so that the many streams stalled by one server share a probe.
+const RESULT_TTL: Span = Span(400);
+/// A server with at least this multiple of its usual request time counts as slow.
+const SLOW_FACTOR: f64 = 2.0;
 
-/// How a server is.
+/// The health of a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Health {
-    /// It answers and works at its usual speed.
-    Well,
-    /// It answers and is much slower than usual.
+    /// Responds at its usual speed.
+    Healthy,
+    /// Responds, but is much slower than usual.
     Slow,
-    /// It does not answer.
+    /// Does not respond.
     Dead,
 }
 
 #[derive(Clone, Copy)]
-struct Known {
+struct Outcome {
     at: Instant,
     health: Health,
 }
 
-/// Recent answers.
+/// Recent probe results.
 #[derive(Default)]
 pub struct Probes {
-    known: RefCell<HashMap<Incarnation, Known>>,
+    results: RefCell<HashMap<Incarnation, Outcome>>,
 }
 
 impl Probes {
-    /// Tells whether a server answered after a time.
+    /// Returns whether a probe sent to the server has succeeded since `since`.
     pub fn answered_since(&self, server: &Incarnation, since: Instant) -> bool {
-        let known = self.known.borrow();
-        known
+        let results = self.results.borrow();
+        results
             .get(server)
-            .is_some_and(|known| known.at > since && known.health != Health::Dead)
+            .is_some_and(|result| result.at > since && result.health != Health::Dead)
     }
 
-    /// Forgets an answer that a server gave before a run on it was lost: it says nothing of the loss.
-    fn outdate(&self, server: &Incarnation, lost: Instant) {
-        let mut known = self.known.borrow_mut();
-        let is_outdated = |known: &Known| known.at <= lost && known.health != Health::Dead;
-        if known.get(server).is_some_and(is_outdated) {
-            known.remove(server);
+    /// Discards a successful result from before a run on the server was lost.
+    fn discard_before(&self, server: &Incarnation, lost: Instant) {
+        let mut results = self.results.borrow_mut();
+        let is_stale = |result: &Outcome| result.at <= lost && result.health != Health::Dead;
+        if results.get(server).is_some_and(is_stale) {
+            results.remove(server);
         }
     }
 }
 
-/// Asks a server for its report.
+/// Requests a server's report.
 ///
 /// # Errors
 ///
-/// It does not answer in time, or not with a report.
+/// The server does not respond in time, or not with a valid report.
 pub async fn report<D: Dialect>(
     state: &State<D>,
     server: &Incarnation,
     address: SocketAddr,
 ) -> anyhow::Result<Report> {
-    let began = clock::now();
-    let asked = ask::<D>(state, server, address);
-    let body = tokio::time::timeout(ANSWER, asked).await??;
+    let started = clock::now();
+    let request = request_report::<D>(state, server, address);
+    let body = tokio::time::timeout(PROBE_TIMEOUT, request).await??;
     let report = D::report(&body)?;
-    state.pulse.borrow_mut().answered(began);
+    state.pulse.borrow_mut().answered(started);
     if server.is_denied_by(report.born) {
-        learn_restart(state, server, &report);
+        handle_restart(state, server, &report);
         anyhow::bail!("restarted");
     }
     Ok(report)
 }
 
-/// Takes a server's own word that it has started again.
+/// Handles a server's own report that it has restarted.
 ///
-/// Its registration tells the same soon after. While the store is away it doesn't, and the server could
-/// get neither layers nor work until the store is back.
-fn learn_restart<D: Dialect>(state: &State<D>, earlier: &Incarnation, report: &Report) {
+/// While the store is unavailable, the server's new registration cannot be read, and without its
+/// report it would get neither layers nor requests.
+fn handle_restart<D: Dialect>(state: &State<D>, earlier: &Incarnation, report: &Report) {
     let later = Incarnation::new(earlier.server.clone(), report.born);
     follow::take_held(state, &later, report.held.unwrap_or_default());
 }
 
-async fn ask<D: Dialect>(
+async fn request_report<D: Dialect>(
     state: &State<D>,
     server: &Incarnation,
     address: SocketAddr,
 ) -> anyhow::Result<Bytes> {
     let first = std::pin::pin!(async {
         let lease = state.pool.lease(server, address).await?;
-        let is_kept = lease.is_reused;
-        let asked = exchange::<D>(lease, address).await;
-        // A kept connection may have been closed meanwhile, which says nothing of the server.
-        if asked.is_ok() || !is_kept {
-            return asked;
+        let is_reused = lease.is_reused;
+        let response = send_probe::<D>(lease, address).await;
+        // The server may have closed the idle connection, which says nothing about its health.
+        if response.is_ok() || !is_reused {
+            return response;
         }
-        exchange::<D>(state.pool.connect(server, address).await?, address).await
+        send_probe::<D>(state.pool.connect(server, address).await?, address).await
     });
-    let pause = std::pin::pin!(tokio::time::sleep(AGAIN));
+    let pause = std::pin::pin!(tokio::time::sleep(SECOND_PROBE_DELAY));
     let first = match select(first, pause).await {
-        Either::Left((answer, _)) => return answer,
+        Either::Left((result, _)) => return result,
         Either::Right(((), first)) => first,
     };
     let second = std::pin::pin!(async {
-        exchange::<D>(state.pool.connect(server, address).await?, address).await
+        send_probe::<D>(state.pool.connect(server, address).await?, address).await
     });
     match select(first, second).await {
         Either::Left((Ok(body), _)) | Either::Right((Ok(body), _)) => Ok(body),
@@ -141,7 +138,7 @@
     }
 }
 
-async fn exchange<D: Dialect>(lease: Lease, address: SocketAddr) -> anyhow::Result<Bytes> {
+async fn send_probe<D: Dialect>(lease: Lease, address: SocketAddr) -> anyhow::Result<Bytes> {
     let request = Request::get(D::REPORT)
         .header(HOST, address.to_string())
         .body(Full::default())?;
@@ -152,129 +149,129 @@
     Ok(body)
 }
 
-/// Finds out how a server is; a dead one is suspected from now on.
+/// Returns the health of a server, and suspects it if it is dead.
 pub async fn health<D: Dialect>(
     state: &Rc<State<D>>,
     server: &Incarnation,
     address: SocketAddr,
 ) -> Health {
     if state.roster.borrow().has_restarted(server) {
-        // Whoever listens there now knows nothing of what this start was given.
+        // The restarted process does not know the requests of this incarnation.
         return Health::Dead;
     }
-    let known = state.probes.known.borrow().get(server).copied();
-    if let Some(known) = known.filter(|known| clock::now().since(known.at) <= STANDS) {
-        return known.health;
+    let recent = state.probes.results.borrow().get(server).copied();
+    if let Some(recent) = recent.filter(|recent| clock::now().since(recent.at) <= RESULT_TTL) {
+        return recent.health;
     }
     state.metrics.count("probes");
-    let asked = clock::now();
-    let answer = report(state, server, address).await;
-    if answer
+    let sent = clock::now();
+    let report = report(state, server, address).await;
+    if report
         .as_ref()
-        .is_err_and(|error| is_void(state, asked, error))
+        .is_err_and(|error| is_inconclusive(state, sent, error))
     {
         state.metrics.count("probes_void");
-        return Health::Well;
+        return Health::Healthy;
     }
-    let health = match &answer {
-        Ok(report) if report.slowness >= SLOW => Health::Slow,
-        Ok(_) => Health::Well,
+    let health = match &report {
+        Ok(report) if report.slowness >= SLOW_FACTOR => Health::Slow,
+        Ok(_) => Health::Healthy,
         Err(_) => Health::Dead,
     };
     let at = clock::now();
-    let known = Known { at, health };
+    let outcome = Outcome { at, health };
     state
         .probes
-        .known
+        .results
         .borrow_mut()
-        .insert(server.clone(), known);
-    match answer {
+        .insert(server.clone(), outcome);
+    match report {
         Ok(report) => {
             let mut load = state.load.borrow_mut();
             load.asked(at, server, report.slowness);
         }
         Err(error) => {
             state.accuse(server, &format!("{error:#}").replace(' ', "-"));
-            note_refusal(state, server, &error);
+            record_refusal(state, server, &error);
         }
     }
     health
 }
 
-/// Tells whether a server's silence says nothing of it: this process was late itself while it waited.
+/// Returns whether a probe timeout is invalid because this process was delayed while it waited.
 ///
-/// A VM with a tenth of a core stands still for longer than an answer takes whenever it has much to do. It would
-/// find live servers dead, give up their streams, and have more to do. Those that are dead are found so at the next
-/// look, or by the entries that are on time.
-fn is_void<D>(state: &State<D>, asked: Instant, error: &anyhow::Error) -> bool {
-    let is_silence = error.is::<tokio::time::error::Elapsed>();
-    is_silence && state.pulse.borrow().was_late(asked, clock::now())
+/// Otherwise an overloaded entry would take live servers for dead, move their streams, and add to
+/// its own load. Dead servers are detected by the next probe or by other entries.
+fn is_inconclusive<D>(state: &State<D>, sent: Instant, error: &anyhow::Error) -> bool {
+    let is_timeout = error.is::<tokio::time::error::Elapsed>();
+    is_timeout && state.pulse.borrow().was_late(sent, clock::now())
 }
 
-/// Books whether nobody listens at a server's address, by the error with which a question ended.
-fn note_refusal<D>(state: &State<D>, server: &Incarnation, error: &anyhow::Error) {
+/// Records a refused connection.
+fn record_refusal<D>(state: &State<D>, server: &Incarnation, error: &anyhow::Error) {
     let error = error.downcast_ref::<io::Error>();
     if error.is_some_and(|error| error.kind() == io::ErrorKind::ConnectionRefused) {
         state.suspicion.borrow_mut().refused(server);
     }
 }
 
-/// Has a server asked whether it is alive, without waiting for the answer.
-pub fn doubt<D: Dialect>(state: &Rc<State<D>>, server: Incarnation, address: SocketAddr) {
+/// Starts a health check without waiting for its result.
+pub fn check<D: Dialect>(state: &Rc<State<D>>, server: Incarnation, address: SocketAddr) {
     let state = state.clone();
     tokio::task::spawn_local(async move {
         health(&state, &server, address).await;
     });
 }
 
-/// The same after a run on it was lost at a time: an answer from before does not stand.
-pub fn doubt_since<D: Dialect>(
+/// Starts a health check after a run on the server was lost; discards earlier successful results.
+pub fn check_after_loss<D: Dialect>(
     state: &Rc<State<D>>,
     server: Incarnation,
     address: SocketAddr,
     lost: Instant,
 ) {
-    state.probes.outdate(&server, lost);
-    doubt(state, server, address);
+    state.probes.discard_before(&server, lost);
+    check(state, server, address);
 }
 
-/// Asks servers that closed a connection that rested, until the process ends.
-pub async fn follow_dropped<D: Dialect>(state: Rc<State<D>>) {
+/// Checks servers that close idle connections. Never returns.
+pub async fn check_closed<D: Dialect>(state: Rc<State<D>>) {
     loop {
         for server in state.pool.closed().await {
             if let Some(address) = state.address(&server) {
-                doubt(&state, server, address);
+                check(&state, server, address);
             }
         }
     }
 }
 
-/// How often the suspects are looked through.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often suspected servers are checked for due probes.
+const SUSPECT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks the suspects again until they answer or are no longer registered.
-pub async fn follow_suspects<D: Dialect>(state: Rc<State<D>>) {
+/// Probes suspected servers until they respond or are no longer registered. Never returns.
+pub async fn probe_suspects<D: Dialect>(state: Rc<State<D>>) {
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(SUSPECT_POLL_INTERVAL).await;
         let due = state.suspicion.borrow_mut().due(clock::now());
         if !due.is_empty() {
-            ask_witness(&state);
+            probe_witness(&state);
         }
         for server in due {
             let Some(address) = state.address(&server) else {
                 state.suspicion.borrow_mut().clear(&server);
                 continue;
             };
-            tokio::task::spawn_local(ask_suspect(state.clone(), server, address));
+            tokio::task::spawn_local(probe_suspect(state.clone(), server, address));
         }
     }
 }
 
-/// Asks a server that is not suspected, any, unless one has answered since the last suspect was accused.
+/// Probes a random server that is not suspected, unless one has responded since the latest
+/// suspicion.
 ///
-/// Silence counts only where others are heard; without a witness nobody would count as ended, and streams whose
-/// server died would wait for one in vain.
-fn ask_witness<D: Dialect>(state: &Rc<State<D>>) {
+/// A silent server counts as ended only while this entry can reach others. Without this probe,
+/// streams of a dead server might wait for that in vain.
+fn probe_witness<D: Dialect>(state: &Rc<State<D>>) {
     let suspicion = state.suspicion.borrow();
     let newest = suspicion.newest().unwrap_or_default();
     if state.pulse.borrow().was_in_touch(newest) {
@@ -290,20 +287,20 @@
         let state = state.clone();
         state.metrics.count("probes");
         tokio::task::spawn_local(async move {
-            // Its answer is noted where it is heard; silence is judged by those who have requests there.
-            let _answer = report(&state, &server, address).await;
+            // `report` records the response; a timeout is left to the requests at that server.
+            let _report = report(&state, &server, address).await;
         });
     }
 }
 
-async fn ask_suspect<D: Dialect>(state: Rc<State<D>>, server: Incarnation, address: SocketAddr) {
+async fn probe_suspect<D: Dialect>(state: Rc<State<D>>, server: Incarnation, address: SocketAddr) {
     state.metrics.count("probes");
     if let Err(error) = report(&state, &server, address).await {
-        note_refusal(&state, &server, &error);
+        record_refusal(&state, &server, &error);
         return;
     }
     let since = state.suspicion.borrow_mut().clear(&server);
-    state.probes.known.borrow_mut().remove(&server);
+    state.probes.results.borrow_mut().remove(&server);
     if let Some(since) = since {
         let span = clock::now().since(since);
         log::info!("event=trusted server={server} suspected_ms={span}");
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -141,7 +141,7 @@
                 if let Some(part) = at_fault {
                     avoid.push(part.server.clone());
                     state.refused(&part.server);
-                    probe::doubt(state, part.server, part.address);
+                    probe::check(state, part.server, part.address);
                 }
                 if refusals >= MOST_REFUSALS {
                     if !waits_for_room(stream).await {
@@ -301,7 +301,7 @@
     }
     drop(attempts);
     stream.lost_with.replace(Some((first.server.clone(), now)));
-    probe::doubt_since(state, first.server.clone(), first.address, now);
+    probe::check_after_loss(state, first.server.clone(), first.address, now);
 }
 
 /// Tells whether a stream that may have run may be sent to engines once more.
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -280,7 +280,7 @@
         (part.clone(), health)
     });
     let mut parts = join_all(asked).await;
-    parts.retain(|(_, health)| *health != Health::Well);
+    parts.retain(|(_, health)| *health != Health::Healthy);
     parts
 }
 
