--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -26,10 +26,10 @@
 mod slack;
 mod state;
 mod stream;
+mod unary;
 mod upstream;
 mod waiting;
 mod watchdog;
-mod whole;
 
 pub use daemon::run;
 pub use settings::Settings;
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -28,8 +28,8 @@
 use crate::state::Phase;
 use crate::state::State;
 use crate::stream;
+use crate::unary;
 use crate::upstream::Outgoing;
-use crate::whole;
 
 /// `Retry-After` while the entry starts, which takes some milliseconds while the store is up.
 const RETRY_AFTER_STARTING: Span = Span(300);
@@ -101,7 +101,7 @@
     if is_model {
         return stream::serve(state, admitted, guard).await;
     }
-    whole::serve(&state, admitted).await
+    unary::serve(&state, admitted).await
 }
 
 fn refuse<D>(state: &State<D>, id: &str, reason: Reason, arrived: Instant) -> Response<Body<D>> {
--- /dev/null
+++ b/crates/front/src/unary.rs
@@ -0,0 +1,409 @@
+//! Requests to plain services, each with a single buffered response.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use futures::FutureExt;
+use futures::StreamExt;
+use futures::future::Fuse;
+use futures::stream::FuturesUnordered;
+use http_body_util::BodyExt;
+use hyper::Response;
+use hyper::http::response::Parts;
+use jujube_core::pipeline::server::Incarnation;
+use jujube_core::pipeline::server::Server;
+use jujube_core::time::Span;
+use jujube_program::clock;
+
+use crate::answer;
+use crate::answer::Reason;
+use crate::body::Body;
+use crate::dialect::Dialect;
+use crate::head;
+use crate::request;
+use crate::request::Admitted;
+use crate::retries::Retry;
+use crate::state::State;
+use crate::upstream;
+use crate::upstream::Failure;
+
+/// Share of the route's target after which a hedged request is sent: later than a typical response,
+/// early enough for a second one to be on time.
+const HEDGE_SHARE: f64 = 0.55;
+/// Number of random candidates from which the least loaded server is picked.
+const CANDIDATES: usize = 2;
+/// Maximum servers that may reject a request before it fails.
+const MAX_REFUSALS: u32 = 4;
+/// `Retry-After` once every server rejected the request; about the duration of one request.
+const RETRY_AFTER_REFUSED: Span = Span(60);
+/// How long a failed request waits for a retry from the budget.
+const RETRY_WAIT: Duration = Duration::from_millis(60);
+/// `Retry-After` if no server is available.
+const RETRY_AFTER_NO_SERVER: Span = Span(500);
+/// How long before the deadline a request that may have run is answered, so that the response
+/// arrives in time.
+const DEADLINE_MARGIN: Span = Span(10);
+
+/// A buffered response.
+struct Reply {
+    parts: Parts,
+    body: Bytes,
+}
+
+/// Why another attempt is allowed.
+enum Permit {
+    /// No server has received the request yet.
+    First,
+    /// A retry from the budget.
+    Retry(Retry),
+}
+
+/// The result of one attempt.
+type Outcome = (Server, Result<Reply, Failure>);
+
+/// Serves one request.
+pub async fn serve<D: Dialect>(state: &Rc<State<D>>, request: Admitted) -> Response<Body<D>> {
+    let arrived = request.arrived;
+    let left = request
+        .deadline
+        .since(clock::now())
+        .0
+        .saturating_sub(DEADLINE_MARGIN.0);
+    let attempts = Attempts {
+        state,
+        request: &request,
+        excluded: Vec::new(),
+        may_have_run: false,
+        fallback: None,
+        sent: 0,
+        arrivals: 0,
+        refusals: 0,
+        cause: String::from("-"),
+    };
+    let outcome = tokio::time::timeout(Duration::from_millis(left), attempts.run()).await;
+    let (reason, cause, retry_after) = match outcome {
+        Ok(Ok(reply)) => return respond(state, &request, reply),
+        Ok(Err(refusal)) => refusal,
+        // A request that was never sent would have failed before its deadline.
+        Err(_late) => (Reason::Late, String::from("deadline"), None),
+    };
+    request::record_refusal(
+        state,
+        &request.id,
+        &request.route.name,
+        reason,
+        arrived,
+        &cause,
+    );
+    answer::local(reason, retry_after)
+}
+
+fn respond<D: Dialect>(state: &State<D>, request: &Admitted, reply: Reply) -> Response<Body<D>> {
+    let elapsed = clock::now().since(request.arrived);
+    state.metrics.observe("answer", elapsed);
+    state.metrics.count("requests_answered");
+    log::info!(
+        "event=answered request={} status={} took_ms={elapsed}",
+        request.id,
+        reply.parts.status.as_u16()
+    );
+    let mut parts = reply.parts;
+    head::strip(&mut parts.headers);
+    Response::from_parts(parts, Body::buffered(reply.body))
+}
+
+type Refusal = (Reason, String, Option<Span>);
+
+/// The attempts of one request.
+struct Attempts<'a, D> {
+    state: &'a Rc<State<D>>,
+    request: &'a Admitted,
+    excluded: Vec<Incarnation>,
+    may_have_run: bool,
+    /// The error response of a server, returned if no later attempt succeeds.
+    ///
+    /// Without it, a client whose retry is denied or rejected would be told that the request has
+    /// not run, and would repeat a request that has.
+    fallback: Option<Reply>,
+    /// Number of servers that the request was sent to, without those that rejected it.
+    sent: u64,
+    /// Number of servers that may have received the request, including those that rejected it.
+    arrivals: u64,
+    refusals: u32,
+    cause: String,
+}
+
+impl<D: Dialect> Attempts<'_, D> {
+    async fn run(mut self) -> Result<Reply, Refusal> {
+        let mut running = FuturesUnordered::new();
+        let first = self.pick_server().ok_or_else(|| self.no_server())?;
+        self.sent += 1;
+        self.arrivals += 1;
+        running.push(attempt(self.state, self.request, first));
+        let hedge_after = self.request.route.target.0 as f64 * HEDGE_SHARE;
+        let hedge_at = tokio::time::sleep(Duration::from_millis(hedge_after as u64)).fuse();
+        let mut hedge_at = Box::pin(hedge_at);
+        let mut pending_retry = Fuse::terminated();
+        loop {
+            let ended: Option<Outcome> = futures::select! {
+                ended = running.next() => ended,
+                () = hedge_at => {
+                    let permit = self.retry();
+                    if permit.is_none() && self.can_send() {
+                        pending_retry = self.state.retries.wait(&self.request.service).fuse();
+                    }
+                    if let Some(server) = self.next_server(permit) {
+                        running.push(attempt(self.state, self.request, server));
+                    }
+                    continue;
+                }
+                retry = pending_retry => {
+                    if let Some(server) = self.next_server(retry.ok().map(Permit::Retry)) {
+                        running.push(attempt(self.state, self.request, server));
+                    }
+                    continue;
+                }
+            };
+            let Some((server, result)) = ended else {
+                return self.finish();
+            };
+            match self.handle_outcome(&server, result) {
+                Some(reply) => return Ok(reply),
+                None if running.is_empty() => {
+                    let retry = match self.retry() {
+                        None if self.can_send() => self.wait_for_retry().await,
+                        retry => retry,
+                    };
+                    let Some(next) = self.next_server(retry) else {
+                        return self.finish();
+                    };
+                    running.push(attempt(self.state, self.request, next));
+                }
+                None => {}
+            }
+        }
+    }
+
+    /// Returns the response to forward, or records the failure.
+    fn handle_outcome(&mut self, server: &Server, result: Result<Reply, Failure>) -> Option<Reply> {
+        let failure = match result {
+            Ok(reply) => {
+                let failed = reply.parts.status.is_server_error();
+                self.record_outcome(server, !failed);
+                if !failed || !self.request.route.may_repeat() {
+                    return Some(reply);
+                }
+                self.state.metrics.count("answers_failed");
+                self.excluded.push(server.incarnation.clone());
+                self.may_have_run = true;
+                self.fallback = Some(reply);
+                return None;
+            }
+            Err(failure) => failure,
+        };
+        self.excluded.push(server.incarnation.clone());
+        self.cause = failure.to_string().replace(' ', "-");
+        log::info!(
+            "event=try-failed request={} server={} cause={}",
+            self.request.id,
+            server.incarnation,
+            self.cause
+        );
+        match failure {
+            Failure::NotSent(_) => {
+                self.sent -= 1;
+                self.arrivals -= 1;
+                self.state.accuse(&server.incarnation, "not-sent");
+            }
+            Failure::NotRun { .. } => {
+                self.sent -= 1;
+                self.refusals += 1;
+            }
+            Failure::Unknown(_) | Failure::Failed(_) => {
+                self.may_have_run = true;
+                self.record_outcome(server, false);
+            }
+        }
+        None
+    }
+
+    /// Records the outcome of a request at a server.
+    fn record_outcome(&self, server: &Server, is_success: bool) {
+        if is_success {
+            self.state.served(&server.incarnation);
+        } else {
+            self.state.failed(&server.incarnation);
+        }
+    }
+
+    fn can_send(&self) -> bool {
+        let route = &self.request.route;
+        let is_repeatable = !self.may_have_run || route.may_repeat();
+        // A request that may not be repeated is sent to one server at a time, regardless of the
+        // limit.
+        let limit = if route.may_repeat() {
+            route.attempts
+        } else {
+            1
+        };
+        is_repeatable && self.sent < limit && self.refusals < MAX_REFUSALS
+    }
+
+    /// Returns a permit for another attempt. An attempt needs no retry while no server has received
+    /// the request.
+    fn retry(&self) -> Option<Permit> {
+        if self.arrivals == 0 {
+            return Some(Permit::First);
+        }
+        if !self.can_send() {
+            return None;
+        }
+        let retry = self
+            .state
+            .take_retry(&self.request.service, &self.request.id);
+        retry.map(Permit::Retry)
+    }
+
+    /// Waits briefly for a retry, since the store may grant another piece of the slack within
+    /// milliseconds.
+    async fn wait_for_retry(&self) -> Option<Permit> {
+        let pending_retry = self.state.retries.wait(&self.request.service);
+        let retry = tokio::time::timeout(RETRY_WAIT, pending_retry).await;
+        retry.ok()?.ok().map(Permit::Retry)
+    }
+
+    /// Returns the server for another attempt, if one is allowed.
+    fn next_server(&mut self, permit: Option<Permit>) -> Option<Server> {
+        let permit = permit?;
+        if !self.can_send() {
+            return None;
+        }
+        let server = self.pick_server()?;
+        if let Permit::Retry(mut retry) = permit {
+            retry.set_sent(true);
+        }
+        self.sent += 1;
+        self.arrivals += 1;
+        self.state.metrics.count("retries");
+        Some(server)
+    }
+
+    /// Picks the less loaded of two random servers among those with the best health record; prefers
+    /// the local zone on ties.
+    ///
+    /// Load reports from other entries are delayed. If every entry picked the least loaded server,
+    /// all would overload the same one until the next report.
+    fn pick_server(&self) -> Option<Server> {
+        let roster = self.state.roster.borrow();
+        let load = self.state.load.borrow();
+        let suspicion = self.state.suspicion.borrow();
+        let outliers = self.state.outliers.borrow();
+        let local_zone = &self.state.settings.zone;
+        let health = |server: &&Server| {
+            let incarnation = &server.incarnation;
+            let is_avoided = outliers.holds(incarnation) || suspicion.is_doubted(incarnation);
+            (suspicion.holds(incarnation), is_avoided)
+        };
+        let mut usable: Vec<&Server> = roster
+            .usable()
+            .filter(|server| server.service == self.request.service)
+            .filter(|server| !self.excluded.contains(&server.incarnation))
+            .collect();
+        let best = usable.iter().map(health).min()?;
+        usable.retain(|server| health(server) == best);
+        usable.sort_by_cached_key(|_| rand::random::<u32>());
+        let chosen = usable.into_iter().take(CANDIDATES).min_by_key(|server| {
+            let is_remote = server.zone != *local_zone;
+            let incarnation = &server.incarnation;
+            (
+                load.requests(incarnation),
+                suspicion.told(incarnation) > 0,
+                is_remote,
+            )
+        });
+        chosen.cloned()
+    }
+
+    /// Returns the final result once no attempt is left.
+    fn finish(self) -> Result<Reply, Refusal> {
+        let refusal = self.refusal();
+        self.fallback.ok_or(refusal)
+    }
+
+    fn no_server(&self) -> Refusal {
+        (
+            Reason::NoServer,
+            "no-server".into(),
+            Some(RETRY_AFTER_NO_SERVER),
+        )
+    }
+
+    fn refusal(&self) -> Refusal {
+        if self.may_have_run {
+            return (Reason::Failed, self.cause.clone(), None);
+        }
+        (
+            Reason::Refused,
+            self.cause.clone(),
+            Some(RETRY_AFTER_REFUSED),
+        )
+    }
+}
+
+/// Sends the request to a server and buffers the response.
+///
+/// Buffering detects a truncated body while the request can still be retried; responses of plain
+/// services are a few kilobytes at most.
+async fn attempt<D: Dialect>(state: &Rc<State<D>>, request: &Admitted, server: Server) -> Outcome {
+    let in_flight = InFlight::new(state, &server.incarnation);
+    let mut outgoing = request.outgoing.clone();
+    let left = request.deadline.since(clock::now());
+    head::set(&mut outgoing.headers, D::NAMES.deadline, &left.to_string());
+    log::info!(
+        "event=sent request={} server={} in_flight={} left_ms={left}",
+        request.id,
+        server.incarnation,
+        state.load.borrow().requests(&server.incarnation)
+    );
+    let sent =
+        upstream::send::<D>(&state.pool, &server.incarnation, server.address, &outgoing).await;
+    let result = match sent {
+        Ok(incomplete) => {
+            let (parts, body) = incomplete.response.into_parts();
+            match body.collect().await {
+                Ok(body) => {
+                    incomplete.lease.release(&parts.headers);
+                    let body = body.to_bytes();
+                    Ok(Reply { parts, body })
+                }
+                Err(error) => Err(Failure::Unknown(error.to_string())),
+            }
+        }
+        Err(failure) => Err(failure),
+    };
+    drop(in_flight);
+    (server, result)
+}
+
+/// Counts a request in flight at a server until dropped.
+struct InFlight<'a, D> {
+    state: &'a Rc<State<D>>,
+    server: Incarnation,
+}
+
+impl<'a, D> InFlight<'a, D> {
+    fn new(state: &'a Rc<State<D>>, server: &Incarnation) -> Self {
+        state.load.borrow_mut().open(server, 0.0);
+        Self {
+            state,
+            server: server.clone(),
+        }
+    }
+}
+
+impl<D> Drop for InFlight<'_, D> {
+    fn drop(&mut self) {
+        self.state.load.borrow_mut().close(&self.server, 0.0);
+    }
+}
