--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -133,7 +133,7 @@
             gaps: Gaps::default(),
             load: RefCell::default(),
             suspicion: RefCell::default(),
-            pulse: RefCell::new(Pulse::new(watchdog::PACE)),
+            pulse: RefCell::new(Pulse::new(watchdog::TICK)),
             outliers: RefCell::default(),
             is_news: tokio::sync::Notify::new(),
             told: RefCell::default(),
@@ -239,7 +239,7 @@
         if fresh {
             self.load.borrow_mut().lost(clock::now(), server);
             self.is_news.notify_waiters();
-            self.streams.look_at(server);
+            self.streams.request_check(server);
             self.metrics.count("servers_suspected");
             log::info!("event=suspected server={server} cause={cause}");
         }
--- a/crates/front/src/stream/booking.rs
+++ b/crates/front/src/stream/booking.rs
@@ -1,4 +1,4 @@
-//! The memory that a stream holds on its path, and the choice of a path beside what others hold.
+//! Path selection, and accounting of the KV memory that streams hold on their paths.
 
 use std::rc::Rc;
 
@@ -16,7 +16,7 @@
 use super::open::may_run_again;
 use super::record::Stream;
 
-/// Keeps a stream listed, and its memory booked, until it is dropped.
+/// Keeps a stream registered and its memory accounted for until dropped.
 pub(super) struct Registration<D> {
     pub(super) state: Rc<State<D>>,
     pub(super) stream: Rc<Stream>,
@@ -34,9 +34,9 @@
 }
 
 impl<D> Registration<D> {
-    /// Books that every part of the path took the request.
-    pub(super) fn took(&self) {
-        if let Some(first) = self.stream.first() {
+    /// Records that every part of the path accepted the request.
+    pub(super) fn record_accepted(&self) {
+        if let Some(first) = self.stream.first_part() {
             self.state.served(&first.server);
         }
         let path = self.stream.path.borrow();
@@ -49,14 +49,14 @@
 
 impl<D> Drop for Registration<D> {
     fn drop(&mut self) {
-        // A run that is only being opened for a caller that has left is given up.
+        // Cancels a run that is still being opened for a client that has disconnected.
         self.stream.expire();
         self.state.streams.remove(self.number);
         take_path(&self.state, &self.stream, None);
     }
 }
 
-/// Books the memory of a new path and returns that of the old one.
+/// Sets the path of a stream: reserves the memory on the new one and releases that on the old one.
 pub fn take_path<D>(state: &State<D>, stream: &Stream, path: Option<Path>) {
     let mut load = state.load.borrow_mut();
     let tokens = stream.need.tokens();
@@ -68,32 +68,32 @@
     }
 }
 
-/// Returns the memory of a path on which the stream runs no more.
+/// Releases the memory on a path that the stream no longer runs on.
 ///
-/// A run that was lost or refused holds nothing at the servers. Were it booked until the next run begins,
-/// up to 1.4 s later, the streams that a death leaves without a path would keep one another from the room
-/// that is left; and whoever looks after silent streams would order moves of runs that are gone.
-pub fn leave_path<D>(state: &State<D>, stream: &Stream) {
-    if let Some(left) = stream.path.take() {
+/// If it stayed reserved until the next run, streams interrupted by the same failure would block
+/// each other from the remaining capacity, and the watchdog would order path changes for runs that
+/// no longer exist.
+pub fn release_path<D>(state: &State<D>, stream: &Stream) {
+    if let Some(path) = stream.path.take() {
         let mut load = state.load.borrow_mut();
-        load.close_path(&left, stream.need.tokens());
-        stream.left.replace(Some(left));
+        load.close_path(&path, stream.need.tokens());
+        stream.previous_path.replace(Some(path));
     }
 }
 
-/// The path of a run that goes on while its stream is opened elsewhere, and the memory that it holds there.
-pub(super) struct Kept<D> {
+/// The path of a run that continues while its stream is opened elsewhere, with its reserved memory.
+pub(super) struct HeldPath<D> {
     state: Rc<State<D>>,
     stream: Rc<Stream>,
     path: Option<Path>,
 }
 
-impl<D> Kept<D> {
-    /// Takes the path off a stream; its memory stays booked.
-    pub(super) fn take(state: &Rc<State<D>>, stream: &Rc<Stream>) -> Self {
+impl<D> HeldPath<D> {
+    /// Detaches the path from a stream; its memory stays reserved.
+    pub(super) fn detach(state: &Rc<State<D>>, stream: &Rc<Stream>) -> Self {
         let path = stream.path.take();
         if path.is_some() {
-            stream.left.replace(path.clone());
+            stream.previous_path.replace(path.clone());
         }
         Self {
             state: state.clone(),
@@ -102,12 +102,12 @@
         }
     }
 
-    /// Returns the server that holds the stream.
+    /// Returns the first part of the path.
     pub(super) fn first(&self) -> Option<&Part> {
         self.path.as_ref()?.first()
     }
 
-    /// Returns the memory: the run was lost.
+    /// Releases the memory because the run was lost.
     pub(super) fn release(&mut self) {
         if let Some(path) = self.path.take() {
             let tokens = self.stream.need.tokens();
@@ -115,34 +115,34 @@
         }
     }
 
-    /// Gives the path back to its stream, which stays on it.
-    pub(super) fn give_back(mut self) {
-        leave_path(&self.state, &self.stream);
+    /// Reattaches the path to its stream, which stays on it.
+    pub(super) fn restore(mut self) {
+        release_path(&self.state, &self.stream);
         self.stream.path.replace(self.path.take());
     }
 }
 
-impl<D> Drop for Kept<D> {
+impl<D> Drop for HeldPath<D> {
     fn drop(&mut self) {
         self.release();
     }
 }
 
-/// Why a stream is to leave a part of its path.
+/// Why a stream should leave a part of its path.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// It is dead.
+    /// The server is dead.
     Dead,
-    /// It is slow.
+    /// The server is slow.
     Slow,
-    /// It drains.
+    /// The server is draining.
     Leaving,
 }
 
-/// Chooses how a stream goes on whose path `old` has a part that it is to leave.
+/// Chooses how a stream continues when a part of the path `old` must be left.
 ///
-/// What is chosen is booked at once, so that the next stream sees it. A path to be opened on is kept in
-/// the stream until it is.
+/// Reserves the result immediately, so that the next stream takes it into account. The path for
+/// reopening is stored in the stream.
 pub fn go_on<D>(
     state: &State<D>,
     stream: &Stream,
@@ -150,11 +150,11 @@
     avoid: &[Incarnation],
     cause: Cause,
 ) -> Option<Continuation> {
-    // A run that goes on slowly is not given up for another that may be refused.
+    // A slow run is not given up for another one that may be rejected.
     let may_reopen = cause != Cause::Slow && may_reopen(state, stream);
     let now = clock::now();
     let crowd = match cause {
-        Cause::Leaving => leaving_crowd(state, old),
+        Cause::Leaving => draining_herd(state, old),
         Cause::Dead | Cause::Slow => state.load.borrow().backlog.crowd(now, old),
     };
     let (chosen, fleet, need) =
@@ -167,23 +167,23 @@
             (chosen, fleet.clone(), need)
         })?;
     if !matches!(chosen, Some(Continuation::Reopen(_))) {
-        // Others may need the retry more.
+        // Leaves the unused retry to other requests.
         stream.retry.take();
     }
     let chosen = chosen?;
-    let (way, ready_ms) = match &chosen {
+    let (method, ready_ms) = match &chosen {
         Continuation::Reopen(choice) => ("reopen", choice.ready_ms),
         Continuation::Repair(choice) => ("repair", choice.ready_ms),
     };
     log::info!(
-        "event=moving request={} cause={cause:?} way={way} ready_ms={ready_ms:.0} crowd={crowd:.0} from={old}",
+        "event=moving request={} cause={cause:?} way={method} ready_ms={ready_ms:.0} crowd={crowd:.0} from={old}",
         stream.id,
     );
     let mut load = state.load.borrow_mut();
     match &chosen {
         Continuation::Reopen(choice) => {
             fleet.book_reading(&mut load, now, need, &choice.path, None, crowd);
-            stream.planned.replace(Some(choice.path.clone()));
+            stream.planned_path.replace(Some(choice.path.clone()));
         }
         Continuation::Repair(choice) => {
             fleet.book_reading(&mut load, now, need, &choice.path, Some(old), crowd);
@@ -192,23 +192,25 @@
     Some(chosen)
 }
 
-/// Returns how many entries move a stream off a path at the same time: all that have one there, as far as is known.
+/// Returns the assumed number of entries that move a stream off a path at the same time: those that
+/// have streams there, as far as known.
 ///
-/// Taken for all entries there are, a hundred made every move look too slow to be gentle, and no stream left a
-/// server before it was gone.
-fn leaving_crowd<D>(state: &State<D>, old: &Path) -> f64 {
+/// Assuming all entries would overestimate the contention, and no stream would move before its
+/// server exits.
+fn draining_herd<D>(state: &State<D>, old: &Path) -> f64 {
     let load = state.load.borrow();
     let requests = old.parts().iter().map(|part| load.requests(&part.server));
     let most = requests.max().unwrap_or(1);
     most.clamp(1, state.peers.count()) as f64
 }
 
-/// Tells whether a stream that runs may be given up for another run; the retry for it is in hand then.
+/// Returns whether a running stream may be reopened; reserves a retry if so.
 pub fn may_reopen<D>(state: &State<D>, stream: &Stream) -> bool {
     stream.route.resumable && may_run_again(state, stream)
 }
 
-/// Chooses with what this entry knows; `avoid` are servers that refused this request.
+/// Calls `choose` with the fleet of the service and what this entry knows about it. Excludes the
+/// servers in `avoid`.
 pub fn choose_with<D, T>(
     state: &State<D>,
     service: &Service,
--- a/crates/front/src/stream/live.rs
+++ b/crates/front/src/stream/live.rs
@@ -1,4 +1,4 @@
-//! The body of an answer: events as they come, through the loss of engines.
+//! The response body of a stream, which continues across the loss of engines.
 
 use std::collections::VecDeque;
 use std::io;
@@ -21,43 +21,43 @@
 use crate::upstream::Incomplete;
 use crate::waiting::Permit;
 
-use super::booking::Kept;
+use super::booking::HeldPath;
 use super::booking::Registration;
-use super::booking::leave_path;
-use super::open::Answer;
-use super::open::GivenUp;
-use super::open::holds_retry;
-use super::open::lose;
+use super::booking::release_path;
+use super::open::Progress;
+use super::open::Refusal;
+use super::open::ensure_retry;
 use super::open::open;
 use super::open::outlook;
-use super::open::patience;
+use super::open::record_loss;
+use super::open::remaining_patience;
 use super::record::Loss;
 use super::record::Urge;
 
-/// Where the events come from.
+/// The source of the events.
 pub(super) enum Upstream {
     Reading {
         body: Incoming,
         lease: Option<crate::pool::Lease>,
         headers: HeaderMap,
     },
-    /// The last run was lost.
+    /// The last run was lost; the next one is being opened.
     Lost,
     Done,
 }
 
-/// A further run that is being opened.
+/// A run that is being opened to replace the current one.
 pub(super) struct Opening<D> {
-    opened: oneshot::Receiver<Result<Incomplete, GivenUp>>,
-    /// The path of the run that goes on meanwhile.
-    kept: Kept<D>,
-    /// Why that one is to be given up.
+    result: oneshot::Receiver<Result<Incomplete, Refusal>>,
+    /// The path of the current run.
+    current_path: HeldPath<D>,
+    /// Why the current run should be replaced.
     urge: Option<Urge>,
 }
 
-/// The body of a stream's answer.
+/// The response body of a stream.
 pub struct Live<D> {
-    /// Whether the body is events, rather than a backend server's own failure.
+    /// Whether the body consists of events, as opposed to a backend server's error.
     pub(super) is_events: bool,
     pub(super) registration: Registration<D>,
     #[expect(dead_code, reason = "frees its slot when dropped")]
@@ -73,27 +73,27 @@
 type Next = Option<io::Result<Bytes>>;
 
 impl<D: Dialect> Live<D> {
-    /// Returns the next whole events.
+    /// Polls for the next complete event.
     pub fn poll(&mut self, context: &mut Context<'_>) -> Poll<Next> {
         let stream = self.registration.stream.clone();
-        stream.waker.register(context.waker());
+        stream.body_waker.register(context.waker());
         loop {
             if let Some(bytes) = self.out.pop_front() {
                 return Poll::Ready(Some(Ok(bytes)));
             }
-            if stream.expired.get() {
-                return Poll::Ready(self.cut("deadline"));
+            if stream.is_expired.get() {
+                return Poll::Ready(self.abort("deadline"));
             }
             if self.is_reading() && self.opening.is_none() {
-                let urge = stream.abandoned.take();
-                if let Some(end) = urge.and_then(|urge| self.give_up(urge)) {
+                let urge = stream.pending_interrupt.take();
+                if let Some(end) = urge.and_then(|urge| self.handle_interrupt(urge)) {
                     return Poll::Ready(end);
                 }
             }
             if let Some(opening) = &mut self.opening {
-                if let Poll::Ready(opened) = Pin::new(&mut opening.opened).poll(context) {
-                    let opened = opened.unwrap_or_else(|_| Err((Reason::Failed, "stopped".into())));
-                    if let Some(end) = self.take_opened(opened) {
+                if let Poll::Ready(result) = Pin::new(&mut opening.result).poll(context) {
+                    let result = result.unwrap_or_else(|_| Err((Reason::Failed, "stopped".into())));
+                    if let Some(end) = self.handle_opened(result) {
                         return Poll::Ready(end);
                     }
                     continue;
@@ -107,11 +107,11 @@
             let end = match polled {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
-                    Ok(data) => self.take(data),
+                    Ok(data) => self.handle_data(data),
                     Err(_trailers) => None,
                 },
                 Poll::Ready(Some(Err(error))) => self.resume(&error.to_string(), Loss::Broken),
-                Poll::Ready(None) => self.end(),
+                Poll::Ready(None) => self.finish(),
             };
             if let Some(end) = end {
                 return Poll::Ready(end);
@@ -119,46 +119,49 @@
         }
     }
 
-    fn take(&mut self, data: Bytes) -> Option<Next> {
+    fn handle_data(&mut self, data: Bytes) -> Option<Next> {
         if !self.is_events {
             self.out.push_back(data);
             return None;
         }
-        let mut whole = Vec::new();
-        let outcome = self.relay.feed(data, &mut whole);
-        if !whole.is_empty() {
+        let mut events = Vec::new();
+        let outcome = self.relay.feed(data, &mut events);
+        if !events.is_empty() {
             let now = clock::now();
             let stream = &self.registration.stream;
             if stream.events.get() == 0 {
-                self.registration.took();
-                let took = now.since(stream.arrived);
-                self.registration.state.metrics.observe("first_event", took);
+                self.registration.record_accepted();
+                let elapsed = now.since(stream.arrived);
+                self.registration
+                    .state
+                    .metrics
+                    .observe("first_event", elapsed);
             }
-            stream.hear(now);
+            stream.record_event(now);
         }
-        self.out.extend(whole);
+        self.out.extend(events);
         match outcome {
             Ok(()) => None,
             Err(fault) => self.resume(&fault.to_string(), Loss::Broken),
         }
     }
 
-    fn end(&mut self) -> Option<Next> {
+    fn finish(&mut self) -> Option<Next> {
         if let Err(fault) = self.relay.end() {
             return self.resume(&fault.to_string(), Loss::Broken);
         }
         let stream = &self.registration.stream;
         let state = &self.registration.state;
-        let took = clock::now().since(stream.arrived);
+        let elapsed = clock::now().since(stream.arrived);
         state.metrics.count("streams_completed");
-        state.metrics.observe("stream", took);
+        state.metrics.observe("stream", elapsed);
         log::info!(
-            "event=streamed request={} events={} took_ms={took} first_ms={} longest_pause_ms={} runs={} \
+            "event=streamed request={} events={} took_ms={elapsed} first_ms={} longest_pause_ms={} runs={} \
              repairs={}",
             stream.id,
             self.relay.events(),
-            stream.first.get(),
-            stream.longest.get(),
+            stream.first_event_after.get(),
+            stream.longest_gap.get(),
             stream.runs(),
             stream.repairs.get()
         );
@@ -175,63 +178,64 @@
         matches!(self.upstream, Upstream::Reading { .. })
     }
 
-    /// Tells whether the stream may be opened again after its last whole event.
-    fn may_go_on(&self) -> bool {
+    /// Returns whether the stream may be resumed after its last complete event.
+    fn can_resume(&self) -> bool {
         let stream = &self.registration.stream;
-        let is_over = outlook(&self.registration.state, stream) == Outlook::Closed;
-        self.is_events && stream.route.resumable && !is_over
+        let is_closed = outlook(&self.registration.state, stream) == Outlook::Closed;
+        self.is_events && stream.route.resumable && !is_closed
     }
 
-    /// Gives up the current run, at once or when another is open.
-    fn give_up(&mut self, urge: Urge) -> Option<Next> {
+    /// Replaces the current run: immediately if it is lost, otherwise once another one is open.
+    fn handle_interrupt(&mut self, urge: Urge) -> Option<Next> {
         if urge == Urge::Lost {
             return self.resume("abandoned", Loss::Dead);
         }
-        if !self.may_go_on() {
-            return self.stay(urge, "no-server-left");
+        if !self.can_resume() {
+            return self.keep_run(urge, "no-server-left");
         }
         let state = &self.registration.state;
         let stream = &self.registration.stream;
-        if !holds_retry(state, stream) {
-            // Another path for the run needs none, and nobody looks for one while a stream waits for a retry.
-            return self.stay(urge, "no-retry-left");
+        if !ensure_retry(state, stream) {
+            // The watchdog may still find another path for the run, which needs no retry. It skips
+            // streams that are being opened.
+            return self.keep_run(urge, "no-retry-left");
         }
-        if let Some(first) = stream.first() {
+        if let Some(first) = stream.first_part() {
             state.failed(&first.server);
         }
-        self.open(Some(urge), "abandoned");
+        self.start_open(Some(urge), "abandoned");
         None
     }
 
-    /// Goes on at another path after the last whole event, if the route allows it.
+    /// Resumes the stream on another path after its last complete event, if the route allows it.
     fn resume(&mut self, cause: &str, loss: Loss) -> Option<Next> {
         let state = &self.registration.state;
         let stream = &self.registration.stream;
         let cause = cause.replace(' ', "-");
-        let kept = self
+        let current_path = self
             .opening
             .as_ref()
-            .and_then(|opening| opening.kept.first());
-        let first = kept.cloned().or_else(|| stream.first());
+            .and_then(|opening| opening.current_path.first());
+        let first = current_path.cloned().or_else(|| stream.first_part());
         if let Some(first) = first {
-            lose(state, stream, &first, loss);
+            record_loss(state, stream, &first, loss);
         }
-        // Dropping the old body closes its connection, and the engine stops.
+        // Dropping the body closes its connection, which stops the engine.
         self.upstream = Upstream::Lost;
         if let Some(opening) = &mut self.opening {
-            opening.kept.release();
+            opening.current_path.release();
             return None;
         }
-        if !self.may_go_on() {
-            return Some(self.cut(&cause));
+        if !self.can_resume() {
+            return Some(self.abort(&cause));
         }
-        leave_path(state, stream);
-        self.open(None, &cause);
+        release_path(state, stream);
+        self.start_open(None, &cause);
         None
     }
 
-    /// Has a further run opened; one that there is goes on meanwhile.
-    fn open(&mut self, urge: Option<Urge>, cause: &str) {
+    /// Starts to open another run; the current one continues meanwhile.
+    fn start_open(&mut self, urge: Option<Urge>, cause: &str) {
         let state = &self.registration.state;
         let stream = &self.registration.stream;
         let last = self.relay.last();
@@ -242,48 +246,52 @@
             stream.path_text()
         );
         state.metrics.count("streams_resumed");
-        let (sender, opened) = oneshot::channel();
-        let kept = Kept::take(state, stream);
-        let beside = kept.first().map(|first| first.server.clone());
-        self.opening = Some(Opening { opened, kept, urge });
+        let (sender, result) = oneshot::channel();
+        let current_path = HeldPath::detach(state, stream);
+        let current_server = current_path.first().map(|first| first.server.clone());
+        self.opening = Some(Opening {
+            result,
+            current_path,
+            urge,
+        });
         let (state, stream) = (state.clone(), stream.clone());
         tokio::task::spawn_local(async move {
-            let opened = open(&state, &stream, last, Answer::Begun(beside)).await;
-            // A caller that has left meanwhile drops the receiver, and with it the new run.
-            let _caller_gone = sender.send(opened);
+            let result = open(&state, &stream, last, Progress::Started(current_server)).await;
+            // If the client has disconnected, the receiver is gone and the new run is dropped.
+            let _client_gone = sender.send(result);
         });
     }
 
-    /// Takes a further run, or the word that there is none.
-    fn take_opened(&mut self, opened: Result<Incomplete, GivenUp>) -> Option<Next> {
+    /// Switches to the newly opened run, or handles the failure to open it.
+    fn handle_opened(&mut self, result: Result<Incomplete, Refusal>) -> Option<Next> {
         let opening = self.opening.take()?;
-        match (opened, opening.urge) {
+        match (result, opening.urge) {
             (Ok(incomplete), _) => {
-                if let Some(first) = opening.kept.first() {
+                if let Some(first) = opening.current_path.first() {
                     let stream = &self.registration.stream;
                     stream.attempts.borrow_mut().left(&first.server);
                 }
-                self.go_on(incomplete);
+                self.switch_to(incomplete);
                 None
             }
             (Err((_, cause)), Some(urge)) if self.is_reading() => {
-                opening.kept.give_back();
-                // What urged meanwhile concerns a run that never came to be.
-                self.registration.stream.abandoned.take();
-                self.stay(urge, &cause)
+                opening.current_path.restore();
+                // An interrupt that arrived meanwhile concerns the run that failed to open.
+                self.registration.stream.pending_interrupt.take();
+                self.keep_run(urge, &cause)
             }
-            (Err((_, cause)), _) => Some(self.cut(&cause)),
+            (Err((_, cause)), _) => Some(self.abort(&cause)),
         }
     }
 
-    /// Leaves the stream on its run.
+    /// Keeps the stream on its current run.
     ///
-    /// What stands still may go on, and a dead part may yet be replaced, while a stream that is cut off is lost. One
-    /// with a dead part is cut off once its caller can be expected to leave.
-    fn stay(&mut self, urge: Urge, cause: &str) -> Option<Next> {
+    /// A stalled run may recover and a dead part may be replaced, while an aborted stream is lost.
+    /// A stream with a dead part is aborted once its client can be expected to disconnect.
+    fn keep_run(&mut self, urge: Urge, cause: &str) -> Option<Next> {
         let stream = &self.registration.stream;
-        if urge == Urge::Broken && patience(stream).is_none() {
-            return Some(self.cut(cause));
+        if urge == Urge::Broken && remaining_patience(stream).is_none() {
+            return Some(self.abort(cause));
         }
         self.registration.state.metrics.count("streams_kept");
         log::info!(
@@ -295,7 +303,7 @@
         None
     }
 
-    fn go_on(&mut self, incomplete: Incomplete) {
+    fn switch_to(&mut self, incomplete: Incomplete) {
         let (parts, body) = incomplete.response.into_parts();
         self.relay.restart();
         self.upstream = Upstream::Reading {
@@ -305,8 +313,8 @@
         };
     }
 
-    /// Breaks the answer off; the caller sees a connection that ends early.
-    fn cut(&mut self, cause: &str) -> Next {
+    /// Aborts the response; the client sees a truncated body.
+    fn abort(&mut self, cause: &str) -> Next {
         let stream = &self.registration.stream;
         let state = &self.registration.state;
         state.metrics.count("streams_cut");
@@ -318,6 +326,8 @@
             stream.path_text()
         );
         self.upstream = Upstream::Done;
-        Some(Err(io::Error::other("the stream cannot be continued")))
+        Some(Err(io::Error::other(
+            "stream was interrupted and cannot be resumed",
+        )))
     }
 }
--- a/crates/front/src/stream/mod.rs
+++ b/crates/front/src/stream/mod.rs
@@ -1,4 +1,4 @@
-//! Streams of events along a path through backend servers.
+//! Event streams along a path of backend servers.
 
 mod booking;
 mod live;
@@ -46,14 +46,14 @@
 pub use record::Stream;
 pub use record::Urge;
 
-/// The header by which a stream is continued after an event.
+/// The header that resumes a stream after an event.
 const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
-/// When to come back when there is no path: a planner needs about that long to close a gap.
-const NO_PATH: Span = Span(1_000);
-/// When to come back after engines refused.
-const REFUSED: Span = Span(300);
+/// `Retry-After` if there is no path; about the time that a planner needs to close a gap.
+const RETRY_AFTER_NO_PATH: Span = Span(1_000);
+/// `Retry-After` once engines rejected the request.
+const RETRY_AFTER_REFUSED: Span = Span(300);
 
-/// Tells whether an answer is a stream of events, rather than a failure or another kind of body.
+/// Returns whether a response is an event stream.
 fn is_events(status: StatusCode, headers: &HeaderMap) -> bool {
     let kind = head::text(headers, &CONTENT_TYPE);
     status.is_success() && kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
@@ -76,21 +76,21 @@
         service: request.service,
         route: request.route,
         path: RefCell::default(),
-        left: RefCell::default(),
-        planned: RefCell::default(),
-        distrusted: RefCell::default(),
-        heard: Cell::new(now),
+        previous_path: RefCell::default(),
+        planned_path: RefCell::default(),
+        excluded: RefCell::default(),
+        last_activity: Cell::new(now),
         events: Cell::new(0),
-        pace_ms: Cell::new(0.0),
+        mean_gap_ms: Cell::new(0.0),
         last_event: Cell::new(now),
-        first: Cell::default(),
-        longest: Cell::default(),
-        is_checked: Cell::new(false),
-        is_urgent: Cell::new(false),
+        first_event_after: Cell::default(),
+        longest_gap: Cell::default(),
+        is_being_checked: Cell::new(false),
+        needs_check: Cell::new(false),
         repairs: Cell::new(0),
-        detours: Cell::new(0),
-        leave_at: Cell::new(now),
-        check_at: Cell::new(now),
+        slow_moves: Cell::new(0),
+        next_drain_move: Cell::new(now),
+        next_check: Cell::new(now),
         deadline: request.deadline,
         need,
         outgoing: request.outgoing,
@@ -98,11 +98,11 @@
         attempts: RefCell::default(),
         was_sent: Cell::new(false),
         retry: RefCell::default(),
-        lost_with: RefCell::default(),
-        abandoned: Cell::default(),
-        expired: Cell::new(false),
-        waker: AtomicWaker::new(),
-        opener: AtomicWaker::new(),
+        last_loss: RefCell::default(),
+        pending_interrupt: Cell::default(),
+        is_expired: Cell::new(false),
+        body_waker: AtomicWaker::new(),
+        open_waker: AtomicWaker::new(),
     });
     let registration = Registration::new(&state, &stream);
     let admission = waiting::Request {
@@ -121,7 +121,7 @@
             return answer::local(reason, Some(retry_after));
         }
     };
-    match open(&state, &stream, last, open::Answer::Ahead).await {
+    match open(&state, &stream, last, open::Progress::NotStarted).await {
         Ok(incomplete) => {
             let (mut parts, body) = incomplete.response.into_parts();
             let upstream = Upstream::Reading {
@@ -144,8 +144,8 @@
         }
         Err((reason, cause)) => {
             let retry_after = match reason {
-                Reason::NoServer => Some(NO_PATH),
-                Reason::Refused => Some(REFUSED),
+                Reason::NoServer => Some(RETRY_AFTER_NO_PATH),
+                Reason::Refused => Some(RETRY_AFTER_REFUSED),
                 _ => None,
             };
             let route = &stream.route.name;
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -1,4 +1,4 @@
-//! Sending a request along a path until an engine takes it.
+//! Opening a run: sends a request along a path until an engine accepts it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,91 +25,90 @@
 
 use super::LAST_EVENT;
 use super::booking::choose_with;
-use super::booking::leave_path;
+use super::booking::release_path;
 use super::booking::take_path;
 use super::record::Loss;
 use super::record::Stream;
 
-/// How many paths may refuse a request before it is given up.
-const MOST_REFUSALS: u32 = 3;
+/// Maximum paths that may reject a request before it fails.
+const MAX_REFUSALS: u32 = 3;
 
-/// How long after its last event a stream under way waits for servers to take it; callers leave after
-/// two seconds, and reading its tokens takes a part of that.
-const PATIENCE: Span = Span(1_400);
-/// How long it waits for room before it tries a server that is known to have none.
-const HOPEFUL: Span = Span(700);
-/// How long after a run was lost its engine must have answered, or is suspected; an answer is waited for
-/// for a tenth of a second.
-const ANSWERED: Span = Span(300);
-/// How often it looks for room.
-const ROOM_PAUSE: Duration = Duration::from_millis(50);
+/// How long after its last event a stream may wait for servers to accept it. Clients disconnect
+/// after two seconds, and prefill takes part of that.
+const CLIENT_PATIENCE: Span = Span(1_400);
+/// How long such a stream waits for capacity before it tries a server that is known to have none.
+const CAPACITY_WAIT: Span = Span(700);
+/// How long an engine counts as suspected after the loss of a run, unless it responds to a probe.
+const SUSPECTED_AFTER_LOSS: Span = Span(300);
+/// Interval between checks for capacity.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-pub(super) type GivenUp = (Reason, String);
+pub(super) type Refusal = (Reason, String);
 
-/// What the caller has of the answer when a run is opened.
+/// How much of the response the client has received when a run is opened.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) enum Answer {
-    /// Nothing: whatever a server answers may be passed on.
-    Ahead,
-    /// Its head, and the events so far: only more events can follow. The run that goes on meanwhile is on this
-    /// server, which cannot hold the same request twice.
-    Begun(Option<Incarnation>),
+pub(super) enum Progress {
+    /// Nothing; any response of a server may be forwarded.
+    NotStarted,
+    /// The head and possibly events, so only further events may follow. Contains the server of the
+    /// current run, if there is one; it cannot run the same request twice.
+    Started(Option<Incarnation>),
 }
 
-impl Answer {
-    /// Returns the server of the run that goes on meanwhile.
-    fn beside(&self) -> Option<&Incarnation> {
+impl Progress {
+    /// Returns the server of the current run.
+    fn current_server(&self) -> Option<&Incarnation> {
         match self {
-            Self::Ahead => None,
-            Self::Begun(beside) => beside.as_ref(),
+            Self::NotStarted => None,
+            Self::Started(current_server) => current_server.as_ref(),
         }
     }
 }
 
-/// Sends the request along a path until one takes it.
+/// Sends the request along paths until one accepts it.
 pub(super) async fn open<D: Dialect>(
     state: &Rc<State<D>>,
     stream: &Rc<Stream>,
     last: Option<u64>,
-    answer: Answer,
-) -> Result<Incomplete, GivenUp> {
-    let began = clock::now();
-    let mut avoid = unwanted(stream, &answer);
-    let mut refusals = 0;
+    progress: Progress,
+) -> Result<Incomplete, Refusal> {
+    let started = clock::now();
+    let mut avoid = initial_exclusions(stream, &progress);
+    let mut rejections = 0;
     let mut cause = String::from("run-lost");
     loop {
-        if answer.beside().is_some() && stream.last_event.get() > began {
-            // What stood still goes on, and what leaves is moved at a better moment.
+        if progress.current_server().is_some() && stream.last_event.get() > started {
+            // The stalled run has recovered; a move off a draining server can wait.
             return Err((Reason::Failed, "run-goes-on".into()));
         }
-        if stream.expired.get() || clock::now() >= stream.deadline {
+        if stream.is_expired.get() || clock::now() >= stream.deadline {
             return Err((Reason::Late, "deadline".into()));
         }
         match outlook(state, stream) {
             _ if stream.runs() == 0 => {}
             Outlook::Open => {}
-            // A broken connection shows within milliseconds that a run is lost, and a server counts as ended half
-            // a second later. Given up in between, streams would be cut whose servers leave as planned.
-            Outlook::Near if waits_for_room(stream).await => continue,
+            // A lost connection is noticed within milliseconds, while a server counts as ended only
+            // after half a second. Waits, so that streams survive a planned exit of their server.
+            Outlook::Near if wait_for_capacity(stream).await => continue,
             Outlook::Near | Outlook::Closed => return Err((Reason::Failed, cause)),
         }
-        stream.abandoned.set(None);
-        if stream.was_sent.get() && !retry_comes(state, stream).await {
-            return Err(given_up(stream, Reason::Refused, cause));
+        stream.pending_interrupt.set(None);
+        if stream.was_sent.get() && !wait_for_retry(state, stream).await {
+            return Err(final_refusal(stream, Reason::Refused, cause));
         }
         let path = match next_path(state, stream, &avoid) {
             Some(path) => path,
-            None if waits_for_room(stream).await => continue,
-            None => return Err(given_up(stream, Reason::NoServer, "no-path".into())),
+            None if wait_for_capacity(stream).await => continue,
+            None => return Err(final_refusal(stream, Reason::NoServer, "no-path".into())),
         };
         let sent = send(state, stream, path, last);
         let failure = match sent.await {
-            Ok(incomplete) if is_wanted(&incomplete, &answer) => return Ok(incomplete),
+            Ok(incomplete) if is_acceptable(&incomplete, &progress) => return Ok(incomplete),
             Ok(incomplete) => {
                 let failure = Failure::Failed(incomplete.response.status());
                 match may_run_again(state, stream) {
                     true => failure,
-                    false if answer == Answer::Ahead => return Ok(incomplete),
+                    false if progress == Progress::NotStarted => return Ok(incomplete),
                     false => return Err((Reason::Failed, failure.to_string())),
                 }
             }
@@ -121,14 +120,14 @@
             stream.id,
             stream.path_text()
         );
-        let first = stream.first();
+        let first = stream.first_part();
         let at_fault = part_at_fault(stream, &failure);
         if matches!(failure, Failure::Unknown(_)) {
             if let Some(first) = &first {
-                lose(state, stream, first, stream.loss());
+                record_loss(state, stream, first, stream.loss());
             }
         }
-        leave_path(state, stream);
+        release_path(state, stream);
         match failure {
             Failure::NotSent(_) => {
                 if let Some(first) = first {
@@ -137,18 +136,18 @@
                 continue;
             }
             Failure::NotRun { .. } => {
-                refusals += 1;
+                rejections += 1;
                 if let Some(part) = at_fault {
                     avoid.push(part.server.clone());
                     state.refused(&part.server);
                     probe::check(state, part.server, part.address);
                 }
-                if refusals >= MOST_REFUSALS {
-                    if !waits_for_room(stream).await {
-                        return Err(given_up(stream, Reason::Refused, cause));
+                if rejections >= MAX_REFUSALS {
+                    if !wait_for_capacity(stream).await {
+                        return Err(final_refusal(stream, Reason::Refused, cause));
                     }
-                    refusals = 0;
-                    avoid = unwanted(stream, &answer);
+                    rejections = 0;
+                    avoid = initial_exclusions(stream, &progress);
                 }
             }
             Failure::Failed(_) => {
@@ -168,59 +167,62 @@
     }
 }
 
-/// Returns the servers that a stream is not to be sent to before any has refused it.
-fn unwanted(stream: &Stream, answer: &Answer) -> Vec<Incarnation> {
-    let distrusted = stream.distrusted.borrow();
-    distrusted.iter().chain(answer.beside()).cloned().collect()
+/// Returns the servers that are excluded before any has rejected the request.
+fn initial_exclusions(stream: &Stream, progress: &Progress) -> Vec<Incarnation> {
+    let excluded = stream.excluded.borrow();
+    excluded
+        .iter()
+        .chain(progress.current_server())
+        .cloned()
+        .collect()
 }
 
-/// Returns why a request is given up, as its caller may be told.
+/// Returns the reason to report to the client.
 ///
-/// Some reasons say that a request has not run. After a run that failed or whose end is unknown that
-/// would be untrue, whatever the last server said.
-fn given_up(stream: &Stream, reason: Reason, cause: String) -> GivenUp {
+/// Some reasons promise that the request has not run; if a run has started, returns
+/// `Reason::Failed` instead.
+fn final_refusal(stream: &Stream, reason: Reason, cause: String) -> Refusal {
     if stream.runs() > 0 {
         return (Reason::Failed, cause);
     }
     (reason, cause)
 }
 
-/// Tells whether a server's answer is passed on before any other try.
+/// Returns whether a response can be forwarded without another attempt.
 ///
-/// After the first events of a stream, the body of any other answer would be taken for the rest of it: that of
-/// a failure is empty, and a stream cut short would look whole to its caller.
-fn is_wanted(incomplete: &Incomplete, answer: &Answer) -> bool {
+/// Once a response has started, only events may follow: the body of an error would be taken for the
+/// rest of the stream, and its end for the stream's end.
+fn is_acceptable(incomplete: &Incomplete, progress: &Progress) -> bool {
     let response = &incomplete.response;
-    match answer {
-        Answer::Ahead => !response.status().is_server_error(),
-        Answer::Begun(_) => super::is_events(response.status(), response.headers()),
+    match progress {
+        Progress::NotStarted => !response.status().is_server_error(),
+        Progress::Started(_) => super::is_events(response.status(), response.headers()),
     }
 }
 
-/// Waits a little for room, if this is a stream under way whose caller has not lost patience.
+/// Waits briefly for capacity if a stream is under way and its client can be expected to wait;
+/// returns `false` otherwise.
 ///
-/// A request that has run, be it without an event, can only be cut off: its caller may not be told that it
-/// has not run. What was written so far is lost then, and the caller waits longer for the next event than a
-/// new one would be told to.
-async fn waits_for_room(stream: &Stream) -> bool {
-    if patience(stream).is_none() {
+/// A request that has run cannot be rejected, only aborted, and would lose the events so far.
+async fn wait_for_capacity(stream: &Stream) -> bool {
+    if remaining_patience(stream).is_none() {
         return false;
     }
-    tokio::time::sleep(ROOM_PAUSE).await;
+    tokio::time::sleep(CAPACITY_POLL_INTERVAL).await;
     true
 }
 
-/// Returns how much longer the caller of a stream under way can be expected to wait, if at all.
-pub(super) fn patience(stream: &Stream) -> Option<Span> {
+/// Returns how much longer the client of a stream under way can be expected to wait.
+pub(super) fn remaining_patience(stream: &Stream) -> Option<Span> {
     let is_under_way = stream.runs() > 0 || stream.events.get() > 0;
     let silent = clock::now().since(stream.last_event.get());
-    let left = Span(PATIENCE.0.saturating_sub(silent.0));
+    let left = Span(CLIENT_PATIENCE.0.saturating_sub(silent.0));
     (is_under_way && left > Span(0)).then_some(left)
 }
 
-/// Returns the path to send the request along, with what it gives servers to read booked.
+/// Returns the next path to try; reserves its prefill work.
 fn next_path<D>(state: &State<D>, stream: &Stream, avoid: &[Incarnation]) -> Option<Path> {
-    let planned = stream.planned.take();
+    let planned = stream.planned_path.take();
     let is_sound = |path: &Path| {
         let suspicion = state.suspicion.borrow();
         let mut servers = path.parts().iter().map(|part| &part.server);
@@ -230,7 +232,7 @@
         return Some(path);
     }
     let now = clock::now();
-    let left = stream.left.borrow();
+    let left = stream.previous_path.borrow();
     let backlog = |left| state.load.borrow().backlog.crowd(now, left);
     let crowd = left.as_ref().map_or(1.0, backlog);
     let (choice, fleet, need) =
@@ -240,7 +242,9 @@
         })?;
     let choice = choice.filter(|choice| !choice.is_forced())?;
     let is_under_way = stream.events.get() > 0;
-    if is_under_way && choice.lacks_room() && clock::now().since(stream.last_event.get()) < HOPEFUL
+    if is_under_way
+        && choice.lacks_room()
+        && clock::now().since(stream.last_event.get()) < CAPACITY_WAIT
     {
         return None;
     }
@@ -250,7 +254,7 @@
     Some(path)
 }
 
-/// Tells whether a stream may run on one more server.
+/// Returns whether a stream may run on another server.
 pub(super) fn outlook<D>(state: &State<D>, stream: &Stream) -> Outlook {
     if !stream.route.may_repeat() {
         return Outlook::Closed;
@@ -260,8 +264,8 @@
     let attempts = stream.attempts.borrow();
     attempts.outlook(limit, |server| {
         let belief = state.belief(server);
-        let is_doubted = belief == Belief::Alive && is_doubted(state, stream, server);
-        if is_doubted {
+        let is_suspect = belief == Belief::Alive && is_suspect(state, stream, server);
+        if is_suspect {
             Belief::Suspected
         } else {
             belief
@@ -269,7 +273,7 @@
     })
 }
 
-/// Settles which of a stream's servers ended with their runs, where that is not known yet.
+/// Updates which servers of earlier runs are known to have ended.
 pub fn settle<D>(state: &State<D>, stream: &Stream) {
     let mut attempts = stream.attempts.borrow_mut();
     if attempts.is_unsettled() {
@@ -277,18 +281,23 @@
     }
 }
 
-/// Tells whether the stream's last run was lost with a server that has not answered since.
-fn is_doubted<D>(state: &State<D>, stream: &Stream, server: &Incarnation) -> bool {
-    let lost_with = stream.lost_with.borrow();
-    let Some((_, lost)) = lost_with.as_ref().filter(|(lost, _)| lost == server) else {
+/// Returns whether the last run was just lost on a server that has not responded since.
+fn is_suspect<D>(state: &State<D>, stream: &Stream, server: &Incarnation) -> bool {
+    let last_loss = stream.last_loss.borrow();
+    let Some((_, lost_at)) = last_loss.as_ref().filter(|(lost, _)| lost == server) else {
         return false;
     };
-    clock::now().since(*lost) < ANSWERED && !state.probes.answered_since(server, *lost)
+    clock::now().since(*lost_at) < SUSPECTED_AFTER_LOSS
+        && !state.probes.answered_since(server, *lost_at)
 }
 
-/// Books that a run is lost, and has its engine asked whether it is alive: if it is dead, no other request
-/// should have to find that out for itself.
-pub(super) fn lose<D: Dialect>(state: &Rc<State<D>>, stream: &Stream, first: &Part, loss: Loss) {
+/// Records the loss of a run and probes its engine, so that other requests avoid it if it is dead.
+pub(super) fn record_loss<D: Dialect>(
+    state: &Rc<State<D>>,
+    stream: &Stream,
+    first: &Part,
+    loss: Loss,
+) {
     let now = clock::now();
     state.failed(&first.server);
     if loss == Loss::Broken {
@@ -297,56 +306,56 @@
     let mut attempts = stream.attempts.borrow_mut();
     match loss {
         Loss::Broken | Loss::Dead => attempts.lost(now, &first.server),
-        Loss::Left => attempts.left(&first.server),
+        Loss::Abandoned => attempts.left(&first.server),
     }
     drop(attempts);
-    stream.lost_with.replace(Some((first.server.clone(), now)));
+    stream.last_loss.replace(Some((first.server.clone(), now)));
     probe::check_after_loss(state, first.server.clone(), first.address, now);
 }
 
-/// Tells whether a stream that may have run may be sent to engines once more.
+/// Returns whether a stream that may have run can be sent to an engine again.
 pub(super) fn may_run_again<D>(state: &State<D>, stream: &Stream) -> bool {
-    outlook(state, stream) == Outlook::Open && holds_retry(state, stream)
+    outlook(state, stream) == Outlook::Open && ensure_retry(state, stream)
 }
 
-/// Tells whether a retry is in hand for the next run, after taking one if there was none.
-pub(super) fn holds_retry<D>(state: &State<D>, stream: &Stream) -> bool {
+/// Returns whether the stream has a retry for its next run; takes one from the budget if needed.
+pub(super) fn ensure_retry<D>(state: &State<D>, stream: &Stream) -> bool {
     let held = stream.retry.take().filter(Retry::is_fresh);
     let held = held.or_else(|| state.take_retry(&stream.service, &stream.id));
-    let holds = held.is_some();
+    let is_granted = held.is_some();
     stream.retry.replace(held);
-    holds
+    is_granted
 }
 
-/// Waits until a retry for the next run is in hand, as long as the caller can be expected to wait; `false` when none
-/// came in time.
+/// Waits for a retry for as long as the client can be expected to wait; returns `false` if none was
+/// granted.
 ///
-/// Streams wait in line. Were each to ask again every now and then, those that came last would often be served
-/// first, and a hundred of them would fill the log with denials.
-async fn retry_comes<D>(state: &State<D>, stream: &Stream) -> bool {
-    if holds_retry(state, stream) {
+/// Streams wait in order. With polling, late streams could overtake earlier ones, and denials would
+/// flood the log.
+async fn wait_for_retry<D>(state: &State<D>, stream: &Stream) -> bool {
+    if ensure_retry(state, stream) {
         return true;
     }
-    let Some(patience) = patience(stream) else {
+    let Some(patience) = remaining_patience(stream) else {
         return false;
     };
-    let began = clock::now();
-    let coming = state.retries.wait(&stream.service);
-    let expired = std::pin::pin!(stream.lost());
-    let coming = tokio::time::timeout(Duration::from_millis(patience.0), coming);
-    let retry = match select(std::pin::pin!(coming), expired).await {
+    let started = clock::now();
+    let pending = state.retries.wait(&stream.service);
+    let expired = std::pin::pin!(stream.interrupted());
+    let pending = tokio::time::timeout(Duration::from_millis(patience.0), pending);
+    let retry = match select(std::pin::pin!(pending), expired).await {
         Either::Left((Ok(Ok(retry)), _)) => Some(retry),
         _ => None,
     };
     let outcome = if retry.is_some() { "taken" } else { "given-up" };
-    let waited = clock::now().since(began);
+    let waited = clock::now().since(started);
     log::info!(
         "event=retry-awaited request={} outcome={outcome} waited_ms={waited}",
         stream.id
     );
-    let is_in_hand = retry.is_some();
+    let is_granted = retry.is_some();
     stream.retry.replace(retry);
-    is_in_hand
+    is_granted
 }
 
 async fn send<D: Dialect>(
@@ -356,11 +365,11 @@
     last: Option<u64>,
 ) -> Result<Incomplete, Failure> {
     let Some(first) = path.first().cloned() else {
-        return Err(Failure::NotSent("an empty path".into()));
+        return Err(Failure::NotSent("path is empty".into()));
     };
     let now = clock::now();
-    stream.heard.set(now);
-    stream.check_at.set(now);
+    stream.last_activity.set(now);
+    stream.next_check.set(now);
     let mut outgoing = stream.outgoing.clone();
     let left = stream.deadline.since(now);
     let headers = &mut outgoing.headers;
@@ -376,7 +385,7 @@
         stream.runs() + 1,
         state.load.borrow().peers(),
         last.unwrap_or(0),
-        earlier(state, stream),
+        earlier_servers(state, stream),
         path
     );
     take_path(state, stream, Some(path));
@@ -387,8 +396,8 @@
     }
     let sending = upstream::send::<D>(&state.pool, &first.server, first.address, &outgoing);
     let sending = std::pin::pin!(sending);
-    let lost = std::pin::pin!(stream.lost());
-    let result = match select(sending, lost).await {
+    let interrupted = std::pin::pin!(stream.interrupted());
+    let result = match select(sending, interrupted).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => Err(Failure::Unknown("abandoned".into())),
     };
@@ -404,18 +413,19 @@
     result
 }
 
-/// Returns the servers that a stream ran on and what is believed of them, for logs.
-fn earlier<D>(state: &State<D>, stream: &Stream) -> String {
+/// Returns the servers of earlier runs and their states, for logs.
+fn earlier_servers<D>(state: &State<D>, stream: &Stream) -> String {
     let attempts = stream.attempts.borrow();
-    let told = |server| format!("{server}:{}", state.belief(server));
-    let told: Vec<String> = attempts.servers().map(told).collect();
-    if told.is_empty() {
+    let describe = |server| format!("{server}:{}", state.belief(server));
+    let servers: Vec<String> = attempts.servers().map(describe).collect();
+    if servers.is_empty() {
         return "-".into();
     }
-    told.join(",")
+    servers.join(",")
 }
 
-/// Returns the part of the stream's path that refused it: the one that the refusal names, else the first.
+/// Returns the part of the path that rejected the request: the one named in the rejection, or the
+/// first.
 fn part_at_fault(stream: &Stream, failure: &Failure) -> Option<Part> {
     let Failure::NotRun { at_fault, .. } = failure else {
         return None;
--- a/crates/front/src/stream/record.rs
+++ b/crates/front/src/stream/record.rs
@@ -1,4 +1,4 @@
-//! One stream in flight, as its tasks share it.
+//! The state of a stream in flight, shared by its tasks.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,29 +20,29 @@
 use crate::retries::Retry;
 use crate::upstream::Outgoing;
 
-/// How a run was lost.
+/// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Loss {
-    /// It broke off by itself.
+    /// Its connection failed.
     Broken,
-    /// It was given up here, for its server is dead.
+    /// It was interrupted because its server is dead.
     Dead,
-    /// It was given up here, and its server may live.
-    Left,
+    /// It was interrupted, but its server may be alive.
+    Abandoned,
 }
 
-/// Why a run is to be given up.
+/// Why a run is interrupted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Urge {
-    /// The server that holds the stream is dead.
+    /// The server of the first part is dead.
     Lost,
-    /// Another part of its path is dead, and no other path was found for it yet.
+    /// Another part of the path is dead and could not be replaced.
     Broken,
-    /// It may do better elsewhere.
+    /// It stalls, or another path is better.
     Elsewhere,
 }
 
-/// One stream in flight, as its tasks share it.
+/// A stream in flight.
 pub struct Stream {
     /// The request's identifier.
     pub id: Arc<str>,
@@ -50,77 +50,77 @@
     pub service: Service,
     /// The route.
     pub route: Arc<Route>,
-    /// The path that it runs on; `None` between two runs.
+    /// The current path; `None` between two runs.
     pub path: RefCell<Option<Path>>,
-    /// The path that it ran on before.
-    pub(super) left: RefCell<Option<Path>>,
-    /// When the last event came, or the request was sent.
-    pub heard: Cell<Instant>,
-    /// When the last event came; a stream that is opened again is heard anew, an event is not.
+    /// The previous path.
+    pub(super) previous_path: RefCell<Option<Path>>,
+    /// When the last event arrived or the request was last sent.
+    pub last_activity: Cell<Instant>,
+    /// When the last event arrived; unlike `last_activity`, not reset when the stream is reopened.
     pub last_event: Cell<Instant>,
-    /// How many events came.
+    /// The number of events received.
     pub events: Cell<u64>,
-    /// The usual pause between events, in milliseconds.
-    pub pace_ms: Cell<f64>,
-    /// How long the caller waited for the first event.
-    pub first: Cell<Span>,
-    /// The longest pause between events.
-    pub longest: Cell<Span>,
-    /// Whether somebody looks after it.
-    pub is_checked: Cell<bool>,
-    /// Whether a server on its path has come under suspicion.
-    pub is_urgent: Cell<bool>,
-    /// How often its path was changed under way.
+    /// The smoothed gap between events, in milliseconds.
+    pub mean_gap_ms: Cell<f64>,
+    /// Time from arrival to the first event.
+    pub first_event_after: Cell<Span>,
+    /// The longest gap between events.
+    pub longest_gap: Cell<Span>,
+    /// Whether the watchdog is checking or moving the stream.
+    pub is_being_checked: Cell<bool>,
+    /// Whether the path must be checked at the next tick because a server on it is suspected.
+    pub needs_check: Cell<bool>,
+    /// How often its path was changed during a run.
     pub repairs: Cell<u64>,
-    /// How often it was taken off slow servers.
-    pub detours: Cell<u64>,
-    /// Not taken off servers that drain before this time.
-    pub leave_at: Cell<Instant>,
-    /// Not looked after before this time.
-    pub check_at: Cell<Instant>,
-    /// When the answer must be there.
+    /// How often it was moved off slow servers.
+    pub slow_moves: Cell<u64>,
+    /// When it may next be moved off draining servers.
+    pub next_drain_move: Cell<Instant>,
+    /// When it may next be checked.
+    pub next_check: Cell<Instant>,
+    /// When the response is due.
     pub deadline: Instant,
-    /// The path that it is to be opened on, chosen and booked already.
-    pub planned: RefCell<Option<Path>>,
-    /// Servers that kept it waiting for no reason that they tell.
-    pub distrusted: RefCell<Vec<Incarnation>>,
+    /// The path for the next run, chosen and reserved in advance.
+    pub planned_path: RefCell<Option<Path>>,
+    /// Servers on which it stalled for no reported reason.
+    pub excluded: RefCell<Vec<Incarnation>>,
     pub(super) need: Need,
     pub(super) outgoing: Outgoing,
     pub(super) arrived: Instant,
-    /// The engines that it ran on.
+    /// The engines of its runs.
     pub(super) attempts: RefCell<Attempts>,
-    /// Whether an engine got it, so that each further send is a retry.
+    /// Whether an engine has received the request, so that sending it again takes a retry.
     pub(super) was_sent: Cell<bool>,
     /// The retry for its next run.
     pub(super) retry: RefCell<Option<Retry>>,
-    /// The engine with which its last run was lost, and when.
-    pub(super) lost_with: RefCell<Option<(Incarnation, Instant)>>,
-    /// Whether its run is to be given up.
-    pub(super) abandoned: Cell<Option<Urge>>,
-    pub(super) expired: Cell<bool>,
-    /// Wakes the body of the answer.
-    pub(super) waker: AtomicWaker,
-    /// Wakes the task that opens the stream at an engine. It is another one than the body's: with one
-    /// for both, the body would take the word that was meant for a run that is only being opened.
-    pub(super) opener: AtomicWaker,
+    /// The engine on which the last run was lost, and when.
+    pub(super) last_loss: RefCell<Option<(Incarnation, Instant)>>,
+    /// Why its run should be interrupted, if so.
+    pub(super) pending_interrupt: Cell<Option<Urge>>,
+    pub(super) is_expired: Cell<bool>,
+    /// Wakes the response body.
+    pub(super) body_waker: AtomicWaker,
+    /// Wakes the task that opens a run. Separate from `body_waker`, because
+    /// an `AtomicWaker` wakes only the task that registered last.
+    pub(super) open_waker: AtomicWaker,
 }
 
 impl Stream {
-    /// Has the current run given up; the request goes on elsewhere if it may.
-    pub fn abandon(&self, urge: Urge) {
-        self.abandoned.set(Some(urge));
-        self.waker.wake();
-        self.opener.wake();
+    /// Interrupts the current run; the stream continues elsewhere if possible.
+    pub fn interrupt(&self, urge: Urge) {
+        self.pending_interrupt.set(Some(urge));
+        self.body_waker.wake();
+        self.open_waker.wake();
     }
 
-    /// Ends the stream because its time is over.
+    /// Ends the stream because its deadline has passed or its client has disconnected.
     pub fn expire(&self) {
-        self.expired.set(true);
-        self.waker.wake();
-        self.opener.wake();
+        self.is_expired.set(true);
+        self.body_waker.wake();
+        self.open_waker.wake();
     }
 
-    /// Returns what the request needs from now on: the events so far are read like a prompt.
+    /// Returns the tokens needed from now on; those generated so far count as prompt.
     pub fn need(&self, tokens_per_event: f64) -> Need {
         let written = self.events.get() as f64 * tokens_per_event;
         let written = written.min(self.need.answer);
@@ -130,12 +130,12 @@
         }
     }
 
-    /// Returns how the run was lost that just ended.
+    /// Returns how the latest run was lost.
     pub(super) fn loss(&self) -> Loss {
-        match self.abandoned.get() {
+        match self.pending_interrupt.get() {
             Some(Urge::Lost) => Loss::Dead,
-            Some(Urge::Broken | Urge::Elsewhere) => Loss::Left,
-            None if self.expired.get() => Loss::Left,
+            Some(Urge::Broken | Urge::Elsewhere) => Loss::Abandoned,
+            None if self.is_expired.get() => Loss::Abandoned,
             None => Loss::Broken,
         }
     }
@@ -145,11 +145,11 @@
         self.attempts.borrow().runs()
     }
 
-    /// Waits until the current run counts as lost or the time is over.
-    pub(super) async fn lost(&self) {
+    /// Waits until the current run is interrupted or the stream expires.
+    pub(super) async fn interrupted(&self) {
         poll_fn(|context| {
-            self.opener.register(context.waker());
-            if self.abandoned.get().is_some() || self.expired.get() {
+            self.open_waker.register(context.waker());
+            if self.pending_interrupt.get().is_some() || self.is_expired.get() {
                 return Poll::Ready(());
             }
             Poll::Pending
@@ -157,34 +157,36 @@
         .await;
     }
 
-    pub(super) fn hear(&self, now: Instant) {
+    pub(super) fn record_event(&self, now: Instant) {
         const SMOOTHING: f64 = 0.2;
-        let pause = now.since(self.heard.get());
+        let gap = now.since(self.last_activity.get());
         if self.events.get() > 0 {
-            let pace = self.pace_ms.get();
-            self.pace_ms.set(pace + (pause.0 as f64 - pace) * SMOOTHING);
-            let longest = now.since(self.last_event.get());
-            self.longest.set(self.longest.get().max(longest));
+            let mean_gap = self.mean_gap_ms.get();
+            self.mean_gap_ms
+                .set(mean_gap + (gap.0 as f64 - mean_gap) * SMOOTHING);
+            let longest_gap = now.since(self.last_event.get());
+            self.longest_gap
+                .set(self.longest_gap.get().max(longest_gap));
         } else {
-            self.first.set(now.since(self.arrived));
+            self.first_event_after.set(now.since(self.arrived));
         }
         self.last_event.set(now);
-        self.heard.set(now);
+        self.last_activity.set(now);
         self.events.set(self.events.get() + 1);
     }
 }
 
 impl Stream {
-    /// Returns the server that holds the stream.
-    pub(super) fn first(&self) -> Option<Part> {
+    /// Returns the first part of the path.
+    pub(super) fn first_part(&self) -> Option<Part> {
         let path = self.path.borrow();
         path.as_ref()?.first().cloned()
     }
 
-    /// Returns the path as text, for logs.
+    /// Formats the path for logs.
     pub(super) fn path_text(&self) -> String {
-        let (path, left) = (self.path.borrow(), self.left.borrow());
-        let path = path.as_ref().or(left.as_ref());
+        let (path, previous) = (self.path.borrow(), self.previous_path.borrow());
+        let path = path.as_ref().or(previous.as_ref());
         path.map_or("-".into(), Path::to_string)
     }
 }
