--- a/crates/front/src/stream/booking.rs
+++ b/crates/front/src/stream/booking.rs
@@ -13,6 +13,7 @@
 
 use crate::state::State;
 
+use super::interrupt::Cause;
 use super::open::may_run_again;
 use super::record::Stream;
 
@@ -128,17 +129,6 @@
     }
 }
 
-/// Why a stream should leave a part of its path.
-#[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Cause {
-    /// The server is dead.
-    Dead,
-    /// The server is slow.
-    Slow,
-    /// The server is draining.
-    Leaving,
-}
-
 /// Chooses how a stream continues when a part of the path `old` must be left.
 ///
 /// Reserves the result immediately, so that the next stream takes it into account. The path for
@@ -154,14 +144,14 @@
     let may_reopen = cause != Cause::Slow && may_reopen(state, stream);
     let now = clock::now();
     let crowd = match cause {
-        Cause::Leaving => draining_herd(state, old),
+        Cause::Draining => draining_herd(state, old),
         Cause::Dead | Cause::Slow => state.load.borrow().backlog.crowd(now, old),
     };
     let (chosen, fleet, need) =
         choose_with(state, &stream.service, avoid, crowd, |fleet, view| {
             let need = stream.need(fleet.engine.tokens_per_event);
             let chosen = match cause {
-                Cause::Leaving => fleet.leave(need, view, old, may_reopen),
+                Cause::Draining => fleet.leave(need, view, old, may_reopen),
                 Cause::Dead | Cause::Slow => fleet.go_on(need, view, old, may_reopen),
             };
             (chosen, fleet.clone(), need)
@@ -176,7 +166,7 @@
         Continuation::Repair(choice) => ("repair", choice.ready_ms),
     };
     log::info!(
-        "event=moving request={} cause={cause:?} way={method} ready_ms={ready_ms:.0} crowd={crowd:.0} from={old}",
+        "event=moving request={} cause={cause} way={method} ready_ms={ready_ms:.0} crowd={crowd:.0} from={old}",
         stream.id,
     );
     let mut load = state.load.borrow_mut();
--- /dev/null
+++ b/crates/front/src/stream/interrupt.rs
@@ -0,0 +1,47 @@
+//! Why streams are interrupted or moved.
+
+use std::fmt;
+
+/// Why a run is interrupted.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Interrupt {
+    /// The server of the first part is dead.
+    FirstDead,
+    /// Another part of the path is dead and could not be replaced.
+    PartDead,
+    /// The run stalls, or another path is better.
+    Reopen,
+}
+
+/// The value of `urge=` in logs.
+impl fmt::Display for Interrupt {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::FirstDead => "Lost",
+            Self::PartDead => "Broken",
+            Self::Reopen => "Elsewhere",
+        })
+    }
+}
+
+/// Why a stream should leave a part of its path.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub enum Cause {
+    /// The server is dead.
+    Dead,
+    /// The server is slow.
+    Slow,
+    /// The server is draining.
+    Draining,
+}
+
+/// The value of `cause=` in the logs of moves.
+impl fmt::Display for Cause {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Dead => "Dead",
+            Self::Slow => "Slow",
+            Self::Draining => "Leaving",
+        })
+    }
+}
--- a/crates/front/src/stream/live.rs
+++ b/crates/front/src/stream/live.rs
@@ -24,6 +24,7 @@
 use super::booking::HeldPath;
 use super::booking::Registration;
 use super::booking::release_path;
+use super::interrupt::Interrupt;
 use super::open::Progress;
 use super::open::Refusal;
 use super::open::ensure_retry;
@@ -32,7 +33,6 @@
 use super::open::record_loss;
 use super::open::remaining_patience;
 use super::record::Loss;
-use super::record::Urge;
 
 /// The source of the events.
 pub(super) enum Upstream {
@@ -52,7 +52,7 @@
     /// The path of the current run.
     current_path: HeldPath<D>,
     /// Why the current run should be replaced.
-    urge: Option<Urge>,
+    interrupt: Option<Interrupt>,
 }
 
 /// The response body of a stream.
@@ -85,8 +85,9 @@
                 return Poll::Ready(self.abort("deadline"));
             }
             if self.is_reading() && self.opening.is_none() {
-                let urge = stream.pending_interrupt.take();
-                if let Some(end) = urge.and_then(|urge| self.handle_interrupt(urge)) {
+                let interrupt = stream.pending_interrupt.take();
+                if let Some(end) = interrupt.and_then(|interrupt| self.handle_interrupt(interrupt))
+                {
                     return Poll::Ready(end);
                 }
             }
@@ -186,24 +187,24 @@
     }
 
     /// Replaces the current run: immediately if it is lost, otherwise once another one is open.
-    fn handle_interrupt(&mut self, urge: Urge) -> Option<Next> {
-        if urge == Urge::Lost {
+    fn handle_interrupt(&mut self, interrupt: Interrupt) -> Option<Next> {
+        if interrupt == Interrupt::FirstDead {
             return self.resume("abandoned", Loss::Dead);
         }
         if !self.can_resume() {
-            return self.keep_run(urge, "no-server-left");
+            return self.keep_run(interrupt, "no-server-left");
         }
         let state = &self.registration.state;
         let stream = &self.registration.stream;
         if !ensure_retry(state, stream) {
             // The watchdog may still find another path for the run, which needs no retry. It skips
             // streams that are being opened.
-            return self.keep_run(urge, "no-retry-left");
+            return self.keep_run(interrupt, "no-retry-left");
         }
         if let Some(first) = stream.first_part() {
             state.failed(&first.server);
         }
-        self.start_open(Some(urge), "abandoned");
+        self.start_open(Some(interrupt), "abandoned");
         None
     }
 
@@ -235,7 +236,7 @@
     }
 
     /// Starts to open another run; the current one continues meanwhile.
-    fn start_open(&mut self, urge: Option<Urge>, cause: &str) {
+    fn start_open(&mut self, interrupt: Option<Interrupt>, cause: &str) {
         let state = &self.registration.state;
         let stream = &self.registration.stream;
         let last = self.relay.last();
@@ -252,7 +253,7 @@
         self.opening = Some(Opening {
             result,
             current_path,
-            urge,
+            interrupt,
         });
         let (state, stream) = (state.clone(), stream.clone());
         tokio::task::spawn_local(async move {
@@ -265,7 +266,7 @@
     /// Switches to the newly opened run, or handles the failure to open it.
     fn handle_opened(&mut self, result: Result<Incomplete, Refusal>) -> Option<Next> {
         let opening = self.opening.take()?;
-        match (result, opening.urge) {
+        match (result, opening.interrupt) {
             (Ok(incomplete), _) => {
                 if let Some(first) = opening.current_path.first() {
                     let stream = &self.registration.stream;
@@ -274,11 +275,11 @@
                 self.switch_to(incomplete);
                 None
             }
-            (Err((_, cause)), Some(urge)) if self.is_reading() => {
+            (Err((_, cause)), Some(interrupt)) if self.is_reading() => {
                 opening.current_path.restore();
                 // An interrupt that arrived meanwhile concerns the run that failed to open.
                 self.registration.stream.pending_interrupt.take();
-                self.keep_run(urge, &cause)
+                self.keep_run(interrupt, &cause)
             }
             (Err((_, cause)), _) => Some(self.abort(&cause)),
         }
@@ -288,14 +289,14 @@
     ///
     /// A stalled run may recover and a dead part may be replaced, while an aborted stream is lost.
     /// A stream with a dead part is aborted once its client can be expected to disconnect.
-    fn keep_run(&mut self, urge: Urge, cause: &str) -> Option<Next> {
+    fn keep_run(&mut self, interrupt: Interrupt, cause: &str) -> Option<Next> {
         let stream = &self.registration.stream;
-        if urge == Urge::Broken && remaining_patience(stream).is_none() {
+        if interrupt == Interrupt::PartDead && remaining_patience(stream).is_none() {
             return Some(self.abort(cause));
         }
         self.registration.state.metrics.count("streams_kept");
         log::info!(
-            "event=run-kept request={} events={} path={} urge={urge:?} cause={cause}",
+            "event=run-kept request={} events={} path={} urge={interrupt} cause={cause}",
             stream.id,
             stream.events.get(),
             stream.path_text()
--- a/crates/front/src/stream/mod.rs
+++ b/crates/front/src/stream/mod.rs
@@ -1,6 +1,7 @@
 //! Event streams along a path of backend servers.
 
 mod booking;
+mod interrupt;
 mod live;
 mod open;
 mod record;
@@ -36,15 +37,15 @@
 use live::Upstream;
 use open::open;
 
-pub use booking::Cause;
 pub use booking::choose_with;
 pub use booking::go_on;
 pub use booking::may_reopen;
 pub use booking::take_path;
+pub use interrupt::Cause;
+pub use interrupt::Interrupt;
 pub use live::Live;
 pub use open::settle;
 pub use record::Stream;
-pub use record::Urge;
 
 /// The header that resumes a stream after an event.
 const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
--- a/crates/front/src/stream/record.rs
+++ b/crates/front/src/stream/record.rs
@@ -20,6 +20,8 @@
 use crate::retries::Retry;
 use crate::upstream::Outgoing;
 
+use super::interrupt::Interrupt;
+
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Loss {
@@ -31,17 +33,6 @@
     Abandoned,
 }
 
-/// Why a run is interrupted.
-#[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Urge {
-    /// The server of the first part is dead.
-    Lost,
-    /// Another part of the path is dead and could not be replaced.
-    Broken,
-    /// It stalls, or another path is better.
-    Elsewhere,
-}
-
 /// A stream in flight.
 pub struct Stream {
     /// The request's identifier.
@@ -96,7 +87,7 @@
     /// The engine on which the last run was lost, and when.
     pub(super) last_loss: RefCell<Option<(Incarnation, Instant)>>,
     /// Why its run should be interrupted, if so.
-    pub(super) pending_interrupt: Cell<Option<Urge>>,
+    pub(super) pending_interrupt: Cell<Option<Interrupt>>,
     pub(super) is_expired: Cell<bool>,
     /// Wakes the response body.
     pub(super) body_waker: AtomicWaker,
@@ -107,8 +98,8 @@
 
 impl Stream {
     /// Interrupts the current run; the stream continues elsewhere if possible.
-    pub fn interrupt(&self, urge: Urge) {
-        self.pending_interrupt.set(Some(urge));
+    pub fn interrupt(&self, interrupt: Interrupt) {
+        self.pending_interrupt.set(Some(interrupt));
         self.body_waker.wake();
         self.open_waker.wake();
     }
@@ -133,8 +124,8 @@
     /// Returns how the latest run was lost.
     pub(super) fn loss(&self) -> Loss {
         match self.pending_interrupt.get() {
-            Some(Urge::Lost) => Loss::Dead,
-            Some(Urge::Broken | Urge::Elsewhere) => Loss::Abandoned,
+            Some(Interrupt::FirstDead) => Loss::Dead,
+            Some(Interrupt::PartDead | Interrupt::Reopen) => Loss::Abandoned,
             None if self.is_expired.get() => Loss::Abandoned,
             None => Loss::Broken,
         }
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -22,8 +22,8 @@
 use crate::state::State;
 use crate::stream;
 use crate::stream::Cause;
+use crate::stream::Interrupt;
 use crate::stream::Stream;
-use crate::stream::Urge;
 
 /// Streams in flight.
 #[derive(Default)]
@@ -144,8 +144,8 @@
 async fn leave_draining<D: Dialect>(state: Rc<State<D>>, stream: Rc<Stream>) {
     let path = stream.path.borrow().clone();
     if let Some(path) = path {
-        match repair(&state, &stream, &path, &[], Cause::Leaving).await {
-            Repair::Reopen => stream.interrupt(Urge::Elsewhere),
+        match repair(&state, &stream, &path, &[], Cause::Draining).await {
+            Repair::Reopen => stream.interrupt(Interrupt::Reopen),
             Repair::Done | Repair::Rejected(_) | Repair::Failed => {}
         }
     }
@@ -210,7 +210,7 @@
         .find(|(part, health)| *health == Health::Dead && is_first(part));
     if let Some((part, _)) = dead_first {
         if !is_only_refusing(state, stream, part) {
-            stream.interrupt(Urge::Lost);
+            stream.interrupt(Interrupt::FirstDead);
         }
         return;
     }
@@ -227,7 +227,7 @@
             Repair::Done => return,
             Repair::Rejected(part) => avoid.push(part),
             Repair::Reopen => {
-                stream.interrupt(Urge::Broken);
+                stream.interrupt(Interrupt::PartDead);
                 return;
             }
             Repair::Failed => break,
@@ -235,7 +235,7 @@
     }
     let is_current = stream.path.borrow().as_ref() == Some(&path);
     if is_dead && is_current {
-        stream.interrupt(Urge::Broken);
+        stream.interrupt(Interrupt::PartDead);
     }
 }
 
@@ -273,7 +273,7 @@
     state.metrics.count("streams_stalled");
     state.failed(&first.server);
     stream.excluded.borrow_mut().push(first.server.clone());
-    stream.interrupt(Urge::Elsewhere);
+    stream.interrupt(Interrupt::Reopen);
 }
 
 async fn unhealthy_parts<D: Dialect>(state: &Rc<State<D>>, path: &Path) -> Vec<(Part, Health)> {
