--- a/crates/front/src/stream/booking.rs
+++ b/crates/front/src/stream/booking.rs
@@ -53,12 +53,12 @@
         // Cancels a run that is still being opened for a client that has disconnected.
         self.stream.expire();
         self.state.streams.remove(self.number);
-        take_path(&self.state, &self.stream, None);
+        set_path(&self.state, &self.stream, None);
     }
 }
 
 /// Sets the path of a stream: reserves the memory on the new one and releases that on the old one.
-pub fn take_path<D>(state: &State<D>, stream: &Stream, path: Option<Path>) {
+pub fn set_path<D>(state: &State<D>, stream: &Stream, path: Option<Path>) {
     let mut load = state.load.borrow_mut();
     let tokens = stream.need.tokens();
     if let Some(path) = &path {
@@ -133,7 +133,7 @@
 ///
 /// Reserves the result immediately, so that the next stream takes it into account. The path for
 /// reopening is stored in the stream.
-pub fn go_on<D>(
+pub fn recover<D>(
     state: &State<D>,
     stream: &Stream,
     old: &Path,
--- a/crates/front/src/stream/mod.rs
+++ b/crates/front/src/stream/mod.rs
@@ -38,9 +38,9 @@
 use open::open;
 
 pub use booking::choose_with;
-pub use booking::go_on;
 pub use booking::may_reopen;
-pub use booking::take_path;
+pub use booking::recover;
+pub use booking::set_path;
 pub use interrupt::Cause;
 pub use interrupt::Interrupt;
 pub use live::Live;
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -26,7 +26,7 @@
 use super::LAST_EVENT;
 use super::booking::choose_with;
 use super::booking::release_path;
-use super::booking::take_path;
+use super::booking::set_path;
 use super::record::Loss;
 use super::record::Stream;
 
@@ -388,7 +388,7 @@
         earlier_servers(state, stream),
         path
     );
-    take_path(state, stream, Some(path));
+    set_path(state, stream, Some(path));
     stream.attempts.borrow_mut().begin(first.server.clone());
     let mut retry = stream.retry.take();
     if let Some(retry) = &mut retry {
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -303,7 +303,7 @@
     avoid: &[Incarnation],
     cause: Cause,
 ) -> Repair {
-    let choice = match stream::go_on(state, stream, old, avoid, cause) {
+    let choice = match stream::recover(state, stream, old, avoid, cause) {
         Some(Continuation::Repair(choice)) => choice,
         Some(Continuation::Reopen(_)) => return Repair::Reopen,
         None => return Repair::Failed,
@@ -336,7 +336,7 @@
     if status.is_success() {
         state.metrics.count("streams_repaired");
         stream.repairs.set(stream.repairs.get() + 1);
-        stream::take_path(state, stream, Some(choice.path));
+        stream::set_path(state, stream, Some(choice.path));
         return Repair::Done;
     }
     let at_fault = D::part_at_fault(&body);
