--- a/crates/front/src/body.rs
+++ b/crates/front/src/body.rs
@@ -10,14 +10,14 @@
 use hyper::body::SizeHint;
 
 use crate::dialect::Dialect;
-use crate::stream::Live;
+use crate::stream::EventBody;
 
 /// A response body.
 pub enum Body<D> {
     /// A buffered body; `None` once it was read or if it is empty.
     Buffered(Option<Bytes>),
     /// A stream of events, forwarded as they arrive.
-    Live(Box<Live<D>>),
+    Events(Box<EventBody<D>>),
 }
 
 impl<D> Body<D> {
@@ -42,14 +42,16 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
             Self::Buffered(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Live(live) => live.poll(context).map(|next| Some(next?.map(Frame::data))),
+            Self::Events(events) => events
+                .poll(context)
+                .map(|next| Some(next?.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Buffered(bytes) => bytes.is_none(),
-            Self::Live(_) => false,
+            Self::Events(_) => false,
         }
     }
 
@@ -58,7 +60,7 @@
             Self::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Live(_) => SizeHint::default(),
+            Self::Events(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/front/src/stream/live.rs
+++ b/crates/front/src/stream/body.rs
@@ -21,9 +21,6 @@
 use crate::upstream::Incomplete;
 use crate::waiting::Permit;
 
-use super::booking::HeldPath;
-use super::booking::Registration;
-use super::booking::release_path;
 use super::interrupt::Interrupt;
 use super::open::Progress;
 use super::open::Refusal;
@@ -32,6 +29,9 @@
 use super::open::outlook;
 use super::open::record_loss;
 use super::open::remaining_patience;
+use super::path::HeldPath;
+use super::path::Registration;
+use super::path::release_path;
 use super::record::Loss;
 
 /// The source of the events.
@@ -56,7 +56,7 @@
 }
 
 /// The response body of a stream.
-pub struct Live<D> {
+pub struct EventBody<D> {
     /// Whether the body consists of events, as opposed to a backend server's error.
     pub(super) is_events: bool,
     pub(super) registration: Registration<D>,
@@ -72,7 +72,7 @@
 
 type Next = Option<io::Result<Bytes>>;
 
-impl<D: Dialect> Live<D> {
+impl<D: Dialect> EventBody<D> {
     /// Polls for the next complete event.
     pub fn poll(&mut self, context: &mut Context<'_>) -> Poll<Next> {
         let stream = self.registration.stream.clone();
--- a/crates/front/src/stream/mod.rs
+++ b/crates/front/src/stream/mod.rs
@@ -1,9 +1,9 @@
 //! Event streams along a path of backend servers.
 
-mod booking;
+mod body;
 mod interrupt;
-mod live;
 mod open;
+mod path;
 mod record;
 
 use std::cell::Cell;
@@ -33,18 +33,18 @@
 use crate::state::State;
 use crate::waiting;
 
-use booking::Registration;
-use live::Upstream;
+use body::Upstream;
 use open::open;
+use path::Registration;
 
-pub use booking::choose_with;
-pub use booking::may_reopen;
-pub use booking::recover;
-pub use booking::set_path;
+pub use body::EventBody;
 pub use interrupt::Cause;
 pub use interrupt::Interrupt;
-pub use live::Live;
 pub use open::settle;
+pub use path::choose_with;
+pub use path::may_reopen;
+pub use path::recover;
+pub use path::set_path;
 pub use record::Stream;
 
 /// The header that resumes a stream after an event.
@@ -131,7 +131,7 @@
                 headers: parts.headers.clone(),
             };
             head::strip(&mut parts.headers);
-            let live = Live {
+            let event_body = EventBody {
                 is_events: is_events(parts.status, &parts.headers),
                 registration,
                 permit,
@@ -141,7 +141,7 @@
                 opening: None,
                 out: VecDeque::new(),
             };
-            Response::from_parts(parts, Body::Live(Box::new(live)))
+            Response::from_parts(parts, Body::Events(Box::new(event_body)))
         }
         Err((reason, cause)) => {
             let retry_after = match reason {
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -24,9 +24,9 @@
 use crate::upstream::Incomplete;
 
 use super::LAST_EVENT;
-use super::booking::choose_with;
-use super::booking::release_path;
-use super::booking::set_path;
+use super::path::choose_with;
+use super::path::release_path;
+use super::path::set_path;
 use super::record::Loss;
 use super::record::Stream;
 
