--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -5,7 +5,6 @@
 //! store, and one of the entries at a time places the model's layers. What the wire calls things
 //! is said by a [`dialect::Dialect`]; this crate is not for that, nor for decisions.
 
-mod answer;
 mod body;
 mod daemon;
 pub mod dialect;
@@ -20,6 +19,7 @@
 mod ready;
 mod reload;
 mod request;
+mod response;
 mod restore;
 mod retries;
 mod settings;
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -20,11 +20,11 @@
 use jujube_core::time::Span;
 use jujube_program::clock;
 
-use crate::answer;
-use crate::answer::Reason;
 use crate::body::Body;
 use crate::dialect::Dialect;
 use crate::head;
+use crate::response;
+use crate::response::Reason;
 use crate::state::Phase;
 use crate::state::State;
 use crate::stream;
@@ -114,7 +114,7 @@
         _ => None,
     };
     record_refusal(state, id, "-", reason, arrived, "-");
-    answer::local(reason, retry_after)
+    response::local(reason, retry_after)
 }
 
 /// Records a request that the entry responded to itself.
--- a/crates/front/src/stream/body.rs
+++ b/crates/front/src/stream/body.rs
@@ -15,9 +15,9 @@
 use jujube_program::clock;
 use tokio::sync::oneshot;
 
-use crate::answer::Reason;
 use crate::dialect::Dialect;
 use crate::request::Guard;
+use crate::response::Reason;
 use crate::upstream::Incomplete;
 use crate::waiting::Permit;
 
--- a/crates/front/src/stream/mod.rs
+++ b/crates/front/src/stream/mod.rs
@@ -22,14 +22,14 @@
 use jujube_core::time::Span;
 use jujube_program::clock;
 
-use crate::answer;
-use crate::answer::Reason;
 use crate::body::Body;
 use crate::dialect::Dialect;
 use crate::head;
 use crate::request;
 use crate::request::Admitted;
 use crate::request::Guard;
+use crate::response;
+use crate::response::Reason;
 use crate::state::State;
 use crate::waiting;
 
@@ -119,7 +119,7 @@
         Err(retry_after) => {
             let (route, reason) = (&stream.route.name, Reason::Overloaded);
             request::record_refusal(&state, &stream.id, route, reason, stream.arrived, "no-room");
-            return answer::local(reason, Some(retry_after));
+            return response::local(reason, Some(retry_after));
         }
     };
     match open(&state, &stream, last, open::Progress::NotStarted).await {
@@ -151,7 +151,7 @@
             };
             let route = &stream.route.name;
             request::record_refusal(&state, &stream.id, route, reason, stream.arrived, &cause);
-            answer::local(reason, retry_after)
+            response::local(reason, retry_after)
         }
     }
 }
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -13,10 +13,10 @@
 use jujube_core::time::Span;
 use jujube_program::clock;
 
-use crate::answer::Reason;
 use crate::dialect::Dialect;
 use crate::head;
 use crate::probe;
+use crate::response::Reason;
 use crate::retries::Retry;
 use crate::state::State;
 use crate::upstream;
--- a/crates/front/src/unary.rs
+++ b/crates/front/src/unary.rs
@@ -16,13 +16,13 @@
 use jujube_core::time::Span;
 use jujube_program::clock;
 
-use crate::answer;
-use crate::answer::Reason;
 use crate::body::Body;
 use crate::dialect::Dialect;
 use crate::head;
 use crate::request;
 use crate::request::Admitted;
+use crate::response;
+use crate::response::Reason;
 use crate::retries::Retry;
 use crate::state::State;
 use crate::upstream;
@@ -96,7 +96,7 @@
         arrived,
         &cause,
     );
-    answer::local(reason, retry_after)
+    response::local(reason, retry_after)
 }
 
 fn respond<D: Dialect>(state: &State<D>, request: &Admitted, reply: Reply) -> Response<Body<D>> {
