--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -232,14 +232,13 @@
         return Some(path);
     }
     let now = clock::now();
-    let left = stream.previous_path.borrow();
-    let backlog = |left| state.load.borrow().backlog.crowd(now, left);
-    let crowd = left.as_ref().map_or(1.0, backlog);
-    let (choice, fleet, need) =
-        choose_with(state, &stream.service, avoid, crowd, |fleet, view| {
-            let need = stream.need(fleet.engine.tokens_per_event);
-            (fleet.choose(need, view), fleet.clone(), need)
-        })?;
+    let previous = stream.previous_path.borrow();
+    let herd_at = |path| state.load.borrow().backlog.crowd(now, path);
+    let herd = previous.as_ref().map_or(1.0, herd_at);
+    let (choice, fleet, need) = choose_with(state, &stream.service, avoid, herd, |fleet, view| {
+        let need = stream.need(fleet.engine.tokens_per_event);
+        (fleet.choose(need, view), fleet.clone(), need)
+    })?;
     let choice = choice.filter(|choice| !choice.is_forced())?;
     let is_under_way = stream.events.get() > 0;
     if is_under_way
@@ -250,7 +249,7 @@
     }
     let path = choice.path;
     let mut load = state.load.borrow_mut();
-    fleet.book_reading(&mut load, now, need, &path, None, crowd);
+    fleet.book_reading(&mut load, now, need, &path, None, herd);
     Some(path)
 }
 
--- a/crates/front/src/stream/path.rs
+++ b/crates/front/src/stream/path.rs
@@ -143,19 +143,18 @@
     // A slow run is not given up for another one that may be rejected.
     let may_reopen = cause != Cause::Slow && may_reopen(state, stream);
     let now = clock::now();
-    let crowd = match cause {
+    let herd = match cause {
         Cause::Draining => draining_herd(state, old),
         Cause::Dead | Cause::Slow => state.load.borrow().backlog.crowd(now, old),
     };
-    let (chosen, fleet, need) =
-        choose_with(state, &stream.service, avoid, crowd, |fleet, view| {
-            let need = stream.need(fleet.engine.tokens_per_event);
-            let chosen = match cause {
-                Cause::Draining => fleet.leave(need, view, old, may_reopen),
-                Cause::Dead | Cause::Slow => fleet.go_on(need, view, old, may_reopen),
-            };
-            (chosen, fleet.clone(), need)
-        })?;
+    let (chosen, fleet, need) = choose_with(state, &stream.service, avoid, herd, |fleet, view| {
+        let need = stream.need(fleet.engine.tokens_per_event);
+        let chosen = match cause {
+            Cause::Draining => fleet.leave(need, view, old, may_reopen),
+            Cause::Dead | Cause::Slow => fleet.go_on(need, view, old, may_reopen),
+        };
+        (chosen, fleet.clone(), need)
+    })?;
     if !matches!(chosen, Some(Continuation::Reopen(_))) {
         // Leaves the unused retry to other requests.
         stream.retry.take();
@@ -166,17 +165,17 @@
         Continuation::Repair(choice) => ("repair", choice.ready_ms),
     };
     log::info!(
-        "event=moving request={} cause={cause} way={method} ready_ms={ready_ms:.0} crowd={crowd:.0} from={old}",
+        "event=moving request={} cause={cause} way={method} ready_ms={ready_ms:.0} crowd={herd:.0} from={old}",
         stream.id,
     );
     let mut load = state.load.borrow_mut();
     match &chosen {
         Continuation::Reopen(choice) => {
-            fleet.book_reading(&mut load, now, need, &choice.path, None, crowd);
+            fleet.book_reading(&mut load, now, need, &choice.path, None, herd);
             stream.planned_path.replace(Some(choice.path.clone()));
         }
         Continuation::Repair(choice) => {
-            fleet.book_reading(&mut load, now, need, &choice.path, Some(old), crowd);
+            fleet.book_reading(&mut load, now, need, &choice.path, Some(old), herd);
         }
     }
     Some(chosen)
@@ -190,8 +189,8 @@
 fn draining_herd<D>(state: &State<D>, old: &Path) -> f64 {
     let load = state.load.borrow();
     let requests = old.parts().iter().map(|part| load.requests(&part.server));
-    let most = requests.max().unwrap_or(1);
-    most.clamp(1, state.peers.count()) as f64
+    let max = requests.max().unwrap_or(1);
+    max.clamp(1, state.peers.count()) as f64
 }
 
 /// Returns whether a running stream may be reopened; reserves a retry if so.
@@ -205,7 +204,7 @@
     state: &State<D>,
     service: &Service,
     avoid: &[Incarnation],
-    crowd: f64,
+    herd: f64,
     choose: impl FnOnce(&Rc<Fleet>, &View<'_>) -> T,
 ) -> Option<T> {
     let fleet = state.fleets.borrow().get(service)?.clone();
@@ -219,7 +218,7 @@
         outliers: &outliers,
         avoid,
         home: &state.settings.zone,
-        crowd,
+        crowd: herd,
         draw: rand::random(),
     };
     Some(choose(&fleet, &view))
--- a/crates/front/src/stream/record.rs
+++ b/crates/front/src/stream/record.rs
@@ -22,7 +22,7 @@
 
 use super::interrupt::Interrupt;
 
-/// How a run ended.
+/// How a run was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Loss {
     /// Its connection failed.
@@ -113,11 +113,11 @@
 
     /// Returns the tokens needed from now on; those generated so far count as prompt.
     pub fn need(&self, tokens_per_event: f64) -> Need {
-        let written = self.events.get() as f64 * tokens_per_event;
-        let written = written.min(self.need.answer);
+        let generated = self.events.get() as f64 * tokens_per_event;
+        let generated = generated.min(self.need.answer);
         Need {
-            prompt: self.need.prompt + written,
-            answer: self.need.answer - written,
+            prompt: self.need.prompt + generated,
+            answer: self.need.answer - generated,
         }
     }
 
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -1,4 +1,4 @@
-//! Monitors streams: moves stalled ones off dead, slow and draining servers.
+//! Monitors streams, and moves them off dead, slow, stalled and draining servers.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -74,7 +74,7 @@
 const GAP_TARGET_SHARE: f64 = 0.75;
 /// Silence before a path check while the first event is awaited, as a share of the route's target.
 const FIRST_TARGET_SHARE: f64 = 0.7;
-/// Minimum time between two checks of a stream.
+/// Minimum time between two checks of a stream, unless a server on its path becomes suspected.
 const CHECK_INTERVAL: Span = Span(400);
 /// How long a stream may stall between two events while its path is healthy. A full server preempts
 /// a request for up to half a second, and clients disconnect after two seconds.
@@ -178,7 +178,7 @@
     now.since(stream.last_activity.get()).0 as f64 > limit
 }
 
-/// Checks the path of a silent stream and routes around dead parts.
+/// Checks the path of a silent stream.
 async fn check_stream<D: Dialect>(state: Rc<State<D>>, stream: Rc<Stream>) {
     let path = stream.path.borrow().clone();
     if let Some(path) = path {
@@ -319,7 +319,7 @@
     let response = pool::send_order::<D>(&state.pool, &first.server, first.address, body);
     let result = tokio::time::timeout(REPAIR_TIMEOUT, response).await;
     let (status, body) = match result {
-        Ok(Ok(answer)) => answer,
+        Ok(Ok(response)) => response,
         Ok(Err(error)) => {
             log::info!("event=repair-failed request={} cause={error}", stream.id);
             return Repair::Failed;
