--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -60,7 +60,7 @@
 
 impl Probes {
     /// Returns whether a probe sent to the server has succeeded since `since`.
-    pub fn answered_since(&self, server: &Incarnation, since: Instant) -> bool {
+    pub fn responded_since(&self, server: &Incarnation, since: Instant) -> bool {
         let results = self.results.borrow();
         results
             .get(server)
--- a/crates/front/src/stream/body.rs
+++ b/crates/front/src/stream/body.rs
@@ -46,12 +46,12 @@
     Done,
 }
 
-/// A run that is being opened to replace the current one.
+/// A run that is being opened to replace the current or lost one.
 pub(super) struct Opening<D> {
     result: oneshot::Receiver<Result<Incomplete, Refusal>>,
-    /// The path of the current run.
+    /// The path of the current run, if it was not lost.
     current_path: HeldPath<D>,
-    /// Why the current run should be replaced.
+    /// Why the current run should be replaced; `None` if it was lost.
     interrupt: Option<Interrupt>,
 }
 
@@ -235,7 +235,7 @@
         None
     }
 
-    /// Starts to open another run; the current one continues meanwhile.
+    /// Starts to open another run; the current one, if there is one, continues meanwhile.
     fn start_open(&mut self, interrupt: Option<Interrupt>, cause: &str) {
         let state = &self.registration.state;
         let stream = &self.registration.stream;
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -287,7 +287,7 @@
         return false;
     };
     clock::now().since(*lost_at) < SUSPECTED_AFTER_LOSS
-        && !state.probes.answered_since(server, *lost_at)
+        && !state.probes.responded_since(server, *lost_at)
 }
 
 /// Records the loss of a run and probes its engine, so that other requests avoid it if it is dead.
--- a/crates/front/src/stream/record.rs
+++ b/crates/front/src/stream/record.rs
@@ -91,8 +91,8 @@
     pub(super) is_expired: Cell<bool>,
     /// Wakes the response body.
     pub(super) body_waker: AtomicWaker,
-    /// Wakes the task that opens a run. Separate from `body_waker`, because
-    /// an `AtomicWaker` wakes only the task that registered last.
+    /// Wakes the task that opens a run. Separate from `body_waker`, because an `AtomicWaker` wakes
+    /// only the task that registered last.
     pub(super) open_waker: AtomicWaker,
 }
 
--- a/crates/front/src/unary.rs
+++ b/crates/front/src/unary.rs
@@ -123,8 +123,8 @@
     may_have_run: bool,
     /// The error response of a server, returned if no later attempt succeeds.
     ///
-    /// Without it, a client whose retry is denied or rejected would be told that the request has
-    /// not run, and would repeat a request that has.
+    /// Without it, a client whose retry is denied or rejected would get a status that promises that
+    /// the request has not run, and would repeat a request that has.
     fallback: Option<Reply>,
     /// Number of servers that the request was sent to, without those that rejected it.
     sent: u64,
