--- a/crates/front/src/stream/interrupt.rs
+++ b/crates/front/src/stream/interrupt.rs
@@ -9,7 +9,7 @@
     FirstDead,
     /// Another part of the path is dead and could not be replaced.
     PartDead,
-    /// The run stalls, or another path is better.
+    /// The run stalls, or a server on its path is draining.
     Reopen,
 }
 
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -28,7 +28,7 @@
 /// Streams in flight.
 #[derive(Default)]
 pub struct Streams {
-    streams: RefCell<BTreeMap<u64, Rc<Stream>>>,
+    by_number: RefCell<BTreeMap<u64, Rc<Stream>>>,
     next: Cell<u64>,
 }
 
@@ -37,19 +37,19 @@
     pub fn add(&self, stream: &Rc<Stream>) -> u64 {
         let number = self.next.get();
         self.next.set(number + 1);
-        self.streams.borrow_mut().insert(number, stream.clone());
+        self.by_number.borrow_mut().insert(number, stream.clone());
         number
     }
 
     /// Removes a stream.
     pub fn remove(&self, number: u64) {
-        self.streams.borrow_mut().remove(&number);
+        self.by_number.borrow_mut().remove(&number);
     }
 
     /// Marks the streams whose path includes a server for a check at the next tick, before they
     /// have been silent for long.
     pub fn request_check(&self, server: &Incarnation) {
-        for stream in self.streams.borrow().values() {
+        for stream in self.by_number.borrow().values() {
             let path = stream.path.borrow();
             if path.as_ref().is_some_and(|path| path.passes(server)) {
                 stream.needs_check.set(true);
@@ -59,7 +59,7 @@
 
     /// Returns the number of streams in flight.
     pub fn len(&self) -> usize {
-        self.streams.borrow().len()
+        self.by_number.borrow().len()
     }
 }
 
@@ -106,7 +106,7 @@
         state.pulse.borrow_mut().beat(now);
         let draining = draining(&state, now);
         let mut moved = 0;
-        let streams = state.streams.streams.borrow();
+        let streams = state.streams.by_number.borrow();
         for stream in streams.values() {
             if now >= stream.deadline {
                 stream.expire();
@@ -288,11 +288,13 @@
 
 /// The outcome of an order to change a path.
 enum Repair {
+    /// The stream runs on the best path.
     Done,
     /// A part of the new path is dead or has no capacity.
     Rejected(Incarnation),
     /// Reopening the stream is faster.
     Reopen,
+    /// There is no other path, or the first part did not apply the order.
     Failed,
 }
 
