--- a/crates/front/src/daemon.rs
+++ b/crates/front/src/daemon.rs
@@ -90,8 +90,8 @@
     tokio::task::spawn_local(slack::run(state.clone(), store));
     tokio::task::spawn_local(run_retries(state.clone()));
     tokio::task::spawn_local(gossip::run(state.clone(), gossip));
-    tokio::task::spawn_local(probe::follow_suspects(state.clone()));
-    tokio::task::spawn_local(probe::follow_dropped(state.clone()));
+    tokio::task::spawn_local(probe::probe_suspects(state.clone()));
+    tokio::task::spawn_local(probe::check_closed(state.clone()));
     tokio::task::spawn_local(watchdog::run(state.clone()));
     tokio::task::spawn_local(waiting::run(state.clone()));
     tokio::task::spawn_local(reload::run(state.clone()));
@@ -149,7 +149,9 @@
 }
 
 async fn connection<D: Dialect>(state: Rc<State<D>>, stream: TcpStream, mut closing: Signal) {
-    let configured = stream.set_nodelay(true).and_then(|()| pool::watch(&stream));
+    let configured = stream
+        .set_nodelay(true)
+        .and_then(|()| pool::set_keepalive(&stream));
     if configured.is_err() {
         // The caller has already disconnected.
         return;
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -279,6 +279,6 @@
         return;
     }
     if let Some(address) = state.address(&server) {
-        probe::doubt(state, server, address);
+        probe::check(state, server, address);
     }
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -6,7 +6,6 @@
 //! servers. A [`dialect::Dialect`] maps the platform's wire format; neither wire formats nor
 //! decision logic belong in this crate.
 
-mod answer;
 mod body;
 mod daemon;
 pub mod dialect;
@@ -20,6 +19,7 @@
 mod ready;
 mod reload;
 mod request;
+mod response;
 mod restore;
 mod retries;
 mod settings;
@@ -27,10 +27,10 @@
 mod state;
 mod store_watch;
 mod stream;
+mod unary;
 mod upstream;
 mod waiting;
 mod watchdog;
-mod whole;
 
 pub use daemon::run;
 pub use settings::Settings;
--- a/crates/front/src/planner/order.rs
+++ b/crates/front/src/planner/order.rs
@@ -157,7 +157,7 @@
             Some(accepted),
         );
         let pool = &self.state.pool;
-        let (status, _) = pool::order::<D>(pool, &order.server, address, body).await?;
+        let (status, _) = pool::send_order::<D>(pool, &order.server, address, body).await?;
         Ok(status)
     }
 }
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -133,7 +133,7 @@
             gaps: Gaps::default(),
             load: RefCell::default(),
             suspicion: RefCell::default(),
-            pulse: RefCell::new(LocalHealth::new(watchdog::PACE)),
+            pulse: RefCell::new(LocalHealth::new(watchdog::TICK)),
             outliers: RefCell::default(),
             urgent_report: tokio::sync::Notify::new(),
             reported_layers: RefCell::default(),
@@ -239,11 +239,11 @@
     /// Suspects a backend server.
     pub fn suspect(&self, server: &Incarnation, cause: &str) {
         let fresh = self.suspicion.borrow_mut().suspect(clock::now(), server);
-        self.pool.forget(server);
+        self.pool.close_idle(server);
         if fresh {
             self.load.borrow_mut().server_lost(clock::now(), server);
             self.urgent_report.notify_waiters();
-            self.streams.look_at(server);
+            self.streams.request_check(server);
             self.metrics.count("servers_suspected");
             log::info!("event=suspected server={server} cause={cause}");
         }
--- /dev/null
+++ b/crates/front/src/stream/body.rs
@@ -0,0 +1,334 @@
+//! The response body of a stream, which continues across the loss of engines.
+
+use std::collections::VecDeque;
+use std::io;
+use std::pin::Pin;
+use std::task::Context;
+use std::task::Poll;
+
+use bytes::Bytes;
+use hyper::HeaderMap;
+use hyper::body::Body as _;
+use hyper::body::Incoming;
+use jujube_core::pipeline::attempts::Permission;
+use jujube_core::pipeline::relay::Relay;
+use jujube_program::clock;
+use tokio::sync::oneshot;
+
+use crate::dialect::Dialect;
+use crate::request::Guard;
+use crate::response::Reason;
+use crate::upstream::Incomplete;
+use crate::waiting::Permit;
+
+use super::interrupt::Interrupt;
+use super::open::Progress;
+use super::open::Refusal;
+use super::open::ensure_retry;
+use super::open::open;
+use super::open::outlook;
+use super::open::record_loss;
+use super::open::remaining_patience;
+use super::path::HeldPath;
+use super::path::Registration;
+use super::path::release_path;
+use super::record::Loss;
+
+/// The source of the events.
+pub(super) enum Upstream {
+    Reading {
+        body: Incoming,
+        lease: Option<crate::pool::Lease>,
+        headers: HeaderMap,
+    },
+    /// The last run was lost; the next one is being opened.
+    Lost,
+    Done,
+}
+
+/// A run that is being opened to replace the current or lost one.
+pub(super) struct Opening<D> {
+    result: oneshot::Receiver<Result<Incomplete, Refusal>>,
+    /// The path of the current run, if it was not lost.
+    current_path: HeldPath<D>,
+    /// Why the current run should be replaced; `None` if it was lost.
+    interrupt: Option<Interrupt>,
+}
+
+/// The response body of a stream.
+pub struct EventBody<D> {
+    /// Whether the body consists of events, as opposed to a backend server's error.
+    pub(super) is_events: bool,
+    pub(super) registration: Registration<D>,
+    #[expect(dead_code, reason = "frees its slot when dropped")]
+    pub(super) permit: Permit<D>,
+    #[expect(dead_code, reason = "counts the request in flight until dropped")]
+    pub(super) guard: Guard<D>,
+    pub(super) relay: Relay,
+    pub(super) upstream: Upstream,
+    pub(super) opening: Option<Opening<D>>,
+    pub(super) out: VecDeque<Bytes>,
+}
+
+type Next = Option<io::Result<Bytes>>;
+
+impl<D: Dialect> EventBody<D> {
+    /// Polls for the next complete event.
+    pub fn poll(&mut self, context: &mut Context<'_>) -> Poll<Next> {
+        let stream = self.registration.stream.clone();
+        stream.body_waker.register(context.waker());
+        loop {
+            if let Some(bytes) = self.out.pop_front() {
+                return Poll::Ready(Some(Ok(bytes)));
+            }
+            if stream.is_expired.get() {
+                return Poll::Ready(self.abort("deadline"));
+            }
+            if self.is_reading() && self.opening.is_none() {
+                let interrupt = stream.pending_interrupt.take();
+                if let Some(end) = interrupt.and_then(|interrupt| self.handle_interrupt(interrupt))
+                {
+                    return Poll::Ready(end);
+                }
+            }
+            if let Some(opening) = &mut self.opening {
+                if let Poll::Ready(result) = Pin::new(&mut opening.result).poll(context) {
+                    let result = result.unwrap_or_else(|_| Err((Reason::Failed, "stopped".into())));
+                    if let Some(end) = self.handle_opened(result) {
+                        return Poll::Ready(end);
+                    }
+                    continue;
+                }
+            }
+            let polled = match &mut self.upstream {
+                Upstream::Done => return Poll::Ready(None),
+                Upstream::Lost => return Poll::Pending,
+                Upstream::Reading { body, .. } => Pin::new(body).poll_frame(context),
+            };
+            let end = match polled {
+                Poll::Pending => return Poll::Pending,
+                Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
+                    Ok(data) => self.handle_data(data),
+                    Err(_trailers) => None,
+                },
+                Poll::Ready(Some(Err(error))) => self.resume(&error.to_string(), Loss::Broken),
+                Poll::Ready(None) => self.finish(),
+            };
+            if let Some(end) = end {
+                return Poll::Ready(end);
+            }
+        }
+    }
+
+    fn handle_data(&mut self, data: Bytes) -> Option<Next> {
+        if !self.is_events {
+            self.out.push_back(data);
+            return None;
+        }
+        let mut events = Vec::new();
+        let outcome = self.relay.feed(data, &mut events);
+        if !events.is_empty() {
+            let now = clock::now();
+            let stream = &self.registration.stream;
+            if stream.events.get() == 0 {
+                self.registration.record_accepted();
+                let elapsed = now.since(stream.arrived);
+                self.registration
+                    .state
+                    .metrics
+                    .observe("first_event", elapsed);
+            }
+            stream.record_event(now);
+        }
+        self.out.extend(events);
+        match outcome {
+            Ok(()) => None,
+            Err(fault) => self.resume(&fault.to_string(), Loss::Broken),
+        }
+    }
+
+    fn finish(&mut self) -> Option<Next> {
+        if let Err(fault) = self.relay.end() {
+            return self.resume(&fault.to_string(), Loss::Broken);
+        }
+        let stream = &self.registration.stream;
+        let state = &self.registration.state;
+        let elapsed = clock::now().since(stream.arrived);
+        state.metrics.count("streams_completed");
+        state.metrics.observe("stream", elapsed);
+        log::info!(
+            "event=streamed request={} events={} took_ms={elapsed} first_ms={} longest_pause_ms={} runs={} \
+             repairs={}",
+            stream.id,
+            self.relay.events(),
+            stream.first_event_after.get(),
+            stream.longest_gap.get(),
+            stream.runs(),
+            stream.repairs.get()
+        );
+        if let Upstream::Reading { lease, headers, .. } = &mut self.upstream {
+            if let Some(lease) = lease.take() {
+                lease.release(headers);
+            }
+        }
+        self.upstream = Upstream::Done;
+        Some(None)
+    }
+
+    fn is_reading(&self) -> bool {
+        matches!(self.upstream, Upstream::Reading { .. })
+    }
+
+    /// Returns whether the stream may be resumed after its last complete event.
+    fn can_resume(&self) -> bool {
+        let stream = &self.registration.stream;
+        let is_closed = outlook(&self.registration.state, stream) == Permission::Denied;
+        self.is_events && stream.route.resumable && !is_closed
+    }
+
+    /// Replaces the current run: immediately if it is lost, otherwise once another one is open.
+    fn handle_interrupt(&mut self, interrupt: Interrupt) -> Option<Next> {
+        if interrupt == Interrupt::FirstDead {
+            return self.resume("abandoned", Loss::Dead);
+        }
+        if !self.can_resume() {
+            return self.keep_run(interrupt, "no-server-left");
+        }
+        let state = &self.registration.state;
+        let stream = &self.registration.stream;
+        if !ensure_retry(state, stream) {
+            // The watchdog may still find another path for the run, which needs no retry. It skips
+            // streams that are being opened.
+            return self.keep_run(interrupt, "no-retry-left");
+        }
+        if let Some(first) = stream.first_part() {
+            state.failed(&first.server);
+        }
+        self.start_open(Some(interrupt), "abandoned");
+        None
+    }
+
+    /// Resumes the stream on another path after its last complete event, if the route allows it.
+    fn resume(&mut self, cause: &str, loss: Loss) -> Option<Next> {
+        let state = &self.registration.state;
+        let stream = &self.registration.stream;
+        let cause = cause.replace(' ', "-");
+        let current_path = self
+            .opening
+            .as_ref()
+            .and_then(|opening| opening.current_path.first());
+        let first = current_path.cloned().or_else(|| stream.first_part());
+        if let Some(first) = first {
+            record_loss(state, stream, &first, loss);
+        }
+        // Dropping the body closes its connection, which stops the engine.
+        self.upstream = Upstream::Lost;
+        if let Some(opening) = &mut self.opening {
+            opening.current_path.release();
+            return None;
+        }
+        if !self.can_resume() {
+            return Some(self.abort(&cause));
+        }
+        release_path(state, stream);
+        self.start_open(None, &cause);
+        None
+    }
+
+    /// Starts to open another run; the current one, if there is one, continues meanwhile.
+    fn start_open(&mut self, interrupt: Option<Interrupt>, cause: &str) {
+        let state = &self.registration.state;
+        let stream = &self.registration.stream;
+        let last = self.relay.last();
+        log::info!(
+            "event=resuming request={} after={} path={} cause={cause}",
+            stream.id,
+            last.unwrap_or(0),
+            stream.path_text()
+        );
+        state.metrics.count("streams_resumed");
+        let (sender, result) = oneshot::channel();
+        let current_path = HeldPath::detach(state, stream);
+        let current_server = current_path.first().map(|first| first.server.clone());
+        self.opening = Some(Opening {
+            result,
+            current_path,
+            interrupt,
+        });
+        let (state, stream) = (state.clone(), stream.clone());
+        tokio::task::spawn_local(async move {
+            let result = open(&state, &stream, last, Progress::Started(current_server)).await;
+            // If the client has disconnected, the receiver is gone and the new run is dropped.
+            let _client_gone = sender.send(result);
+        });
+    }
+
+    /// Switches to the newly opened run, or handles the failure to open it.
+    fn handle_opened(&mut self, result: Result<Incomplete, Refusal>) -> Option<Next> {
+        let opening = self.opening.take()?;
+        match (result, opening.interrupt) {
+            (Ok(incomplete), _) => {
+                if let Some(first) = opening.current_path.first() {
+                    let stream = &self.registration.stream;
+                    stream.attempts.borrow_mut().left(&first.server);
+                }
+                self.switch_to(incomplete);
+                None
+            }
+            (Err((_, cause)), Some(interrupt)) if self.is_reading() => {
+                opening.current_path.restore();
+                // An interrupt that arrived meanwhile concerns the run that failed to open.
+                self.registration.stream.pending_interrupt.take();
+                self.keep_run(interrupt, &cause)
+            }
+            (Err((_, cause)), _) => Some(self.abort(&cause)),
+        }
+    }
+
+    /// Keeps the stream on its current run.
+    ///
+    /// A stalled run may recover and a dead part may be replaced, while an aborted stream is lost.
+    /// A stream with a dead part is aborted once its client can be expected to disconnect.
+    fn keep_run(&mut self, interrupt: Interrupt, cause: &str) -> Option<Next> {
+        let stream = &self.registration.stream;
+        if interrupt == Interrupt::PartDead && remaining_patience(stream).is_none() {
+            return Some(self.abort(cause));
+        }
+        self.registration.state.metrics.count("streams_kept");
+        log::info!(
+            "event=run-kept request={} events={} path={} urge={interrupt} cause={cause}",
+            stream.id,
+            stream.events.get(),
+            stream.path_text()
+        );
+        None
+    }
+
+    fn switch_to(&mut self, incomplete: Incomplete) {
+        let (parts, body) = incomplete.response.into_parts();
+        self.relay.restart();
+        self.upstream = Upstream::Reading {
+            body,
+            lease: Some(incomplete.lease),
+            headers: parts.headers,
+        };
+    }
+
+    /// Aborts the response; the client sees a truncated body.
+    fn abort(&mut self, cause: &str) -> Next {
+        let stream = &self.registration.stream;
+        let state = &self.registration.state;
+        state.metrics.count("streams_cut");
+        log::warn!(
+            "event=cut request={} events={} took_ms={} path={} cause={cause}",
+            stream.id,
+            self.relay.events(),
+            clock::now().since(stream.arrived),
+            stream.path_text()
+        );
+        self.upstream = Upstream::Done;
+        Some(Err(io::Error::other(
+            "stream was interrupted and cannot be resumed",
+        )))
+    }
+}
