--- a/crates/core/src/pipeline/load.rs
+++ b/crates/core/src/pipeline/load.rs
@@ -45,7 +45,7 @@
     pub refusals: Refusals,
     /// Reported slowness factor of each server, and when it was received.
     slowness: BTreeMap<Incarnation, (f64, Instant)>,
-    /// The part of `slowness` that servers reported to this entry directly.
+    /// Slowness factors that servers reported to this entry directly, for forwarding.
     direct_slowness: BTreeMap<Incarnation, (f64, Instant)>,
 }
 
