--- a/crates/core/tests/paths.rs
+++ b/crates/core/tests/paths.rs
@@ -403,16 +403,16 @@
         usage: [("s".into(), Usage { tokens, requests })].into(),
         ..Summary::default()
     };
-    let (mut load, mut board) = (Load::default(), Reports::default());
-    let mut receive = |board: &mut Reports, now, sender, report| {
-        board.receive(
+    let (mut load, mut reports) = (Load::default(), Reports::default());
+    let mut receive = |reports: &mut Reports, now, sender, report| {
+        reports.receive(
             Instant(now),
             sender,
             Scope::Own,
             Fragment::default(),
             report,
         );
-        let others = board.others(Instant(now));
+        let others = reports.others(Instant(now));
         load.set_others(others.entries, others.usage);
         (
             load.tokens(&"s".into()),
@@ -420,13 +420,19 @@
             load.peers(),
         )
     };
-    receive(&mut board, 0, "x", report(100.0, 2));
-    receive(&mut board, 100, "y", report(50.0, 1));
-    assert_eq!(receive(&mut board, 200, "x", report(30.0, 1)), (80.0, 2, 2));
+    receive(&mut reports, 0, "x", report(100.0, 2));
+    receive(&mut reports, 100, "y", report(50.0, 1));
+    assert_eq!(
+        receive(&mut reports, 200, "x", report(30.0, 1)),
+        (80.0, 2, 2)
+    );
 
-    board.expire(Instant(1_350));
-    assert_eq!(board.others(Instant(1_350)).usage[&"s".into()].tokens, 30.0);
+    reports.expire(Instant(1_350));
+    assert_eq!(
+        reports.others(Instant(1_350)).usage[&"s".into()].tokens,
+        30.0
+    );
 
-    board.expire(Instant(60_000));
-    assert_eq!(board.others(Instant(60_000)), Summary::default());
+    reports.expire(Instant(60_000));
+    assert_eq!(reports.others(Instant(60_000)), Summary::default());
 }
