--- a/crates/core/src/pipeline/mod.rs
+++ b/crates/core/src/pipeline/mod.rs
@@ -1,9 +1,9 @@
-//! Engines that forward along a path that the request names.
+//! Routing for engines that are pipelined by layers across several backend servers.
 //!
-//! These engines pass activations among themselves: a request carries its whole path, and every
+//! Engines forward activations among themselves: each request carries its whole path, and every
 //! engine runs its part of it. The router decides what each backend server holds ([`placement`]),
-//! which path a request takes ([`chooser`]), who may be trusted with work ([`roster`],
-//! [`suspicion`]), and what a caller sees when a part of the path dies ([`relay`]).
+//! which path a request takes ([`chooser`]), which servers may get work ([`roster`],
+//! [`suspicion`]), and what a caller receives when a part of the path fails ([`relay`]).
 
 pub mod assignment;
 pub mod attempts;
