--- a/crates/core/src/pipeline/budget.rs
+++ b/crates/core/src/pipeline/budget.rs
@@ -1,63 +1,72 @@
-//! One entry's part of the retries that a service allows.
+//! The part of a service's retry budget that one entry may spend.
 
 use std::collections::VecDeque;
 
 use crate::time::Instant;
 use crate::time::Span;
 
-/// How many arrivals beyond the first of each request a service takes, over all entries.
+/// Limits the extra arrivals that a service accepts from all entries together. Every arrival of a
+/// request after its first one is extra.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
     /// Extra arrivals per request.
     pub ratio: f64,
-    /// Extra arrivals on top of that in one window, over all entries.
+    /// Extra arrivals allowed in each window on top of the ratio, over all entries.
     pub slack: f64,
-    /// The window.
+    /// The length of the window.
     pub window: Span,
 }
 
-/// The part of the ratio that requests pay for before a window begins, and as much again within it.
+/// The part of the ratio that requests earn before a window begins; requests within the window earn
+/// as much again.
 ///
-/// A service counts extra arrivals of a window against the requests of that window or of the one before,
-/// whichever are more; half of each is never more than the larger one, whatever the load does. Either one
-/// alone would do for a single process too, but a process that has just started has had no requests in the
-/// window before, and an outage begins with few in its own.
-const PAID: f64 = 0.5;
-/// The part of the requests that counts: some two in a hundred are not the callers' own, such as checks of a
-/// new configuration, and a service need not count them.
-const COUNTED: f64 = 0.95;
-/// How long after it was booked an extra arrival may come: half a second until it is sent, 0.4 s for a new
-/// connection, and a packet that is lost is sent again after one second.
-const ARRIVES: Span = Span(2_000);
-/// How much earlier than it was booked a request may have been sent: the same lost packet.
-const SENT: Span = Span(1_000);
+/// A service compares the extra arrivals of a window with the requests of that window or of the
+/// previous one, whichever are more. Half of each never exceeds the larger one. Using both covers a
+/// process that has just started, which has no previous window, and the start of an outage, when
+/// the current window has few requests.
+const EARNED_BEFORE: f64 = 0.5;
+/// The part of the requests that earns retries. About 2 % are not the callers' own, such as checks
+/// of a new configuration, and a service may not count them.
+const COUNTED_SHARE: f64 = 0.95;
+/// The longest delay between recording an extra arrival and its arrival: 0.5 s until it is sent,
+/// 0.4 s to connect, and 1 s to retransmit a lost packet.
+const MAX_ARRIVAL_DELAY: Span = Span(2_000);
+/// The longest time by which a request may have been sent before it was recorded: one
+/// retransmission.
+const MAX_SEND_LEAD: Span = Span(1_000);
 
 impl Policy {
-    /// Returns how long extra arrivals matter: any window in which one arrives ends within this time.
+    /// Returns how long an extra arrival has to be remembered: any window in which it arrives ends
+    /// within this time.
     #[must_use]
     pub fn reach(&self) -> Span {
-        Span(self.window.0 + ARRIVES.0)
+        Span(self.window.0 + MAX_ARRIVAL_DELAY.0)
     }
 
-    /// Returns how long before the start of a span of extra arrivals requests may pay for it.
-    fn ahead(&self) -> Span {
-        Span(self.window.0.saturating_sub(ARRIVES.0 + SENT.0))
+    /// Returns how long before the first of some extra arrivals a request still earns retries for
+    /// them.
+    fn earning_span(&self) -> Span {
+        Span(
+            self.window
+                .0
+                .saturating_sub(MAX_ARRIVAL_DELAY.0 + MAX_SEND_LEAD.0),
+        )
     }
 }
 
-/// What decides on one more extra arrival: the span of time that has the least left.
+/// The balance of the interval that has the fewest retries left.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Balance {
-    /// Extra arrivals in that span.
+    /// Extra arrivals in the interval.
     pub spent: u64,
-    /// Extra arrivals that requests pay for.
+    /// Extra arrivals that requests have earned.
     pub paid: f64,
-    /// This entry's part of the slack.
+    /// This entry's share of the slack.
     pub share: f64,
 }
 
 impl Balance {
-    /// Tells whether one more extra arrival is within what is paid for and the share.
+    /// Returns whether one more extra arrival is within the budget.
     #[must_use]
     pub fn allow(&self) -> bool {
         self.left() >= 1.0
@@ -70,10 +79,9 @@
 
 /// Counts requests and extra arrivals of one service.
 ///
-/// Without it a failing service would get every request as often as its route allows, which keeps
-/// it down. What one entry allows itself holds for every window by itself, so that the sum over all entries
-/// holds without a word between them, also over those that have ended; the parts of the slack are dealt by
-/// [`super::reserve::Reserve`].
+/// Prevents retries from keeping a failing service overloaded. Each entry stays within its own part
+/// in every window, so the sum over all entries, including those that have exited, stays within the
+/// policy without coordination. [`super::reserve::Reserve`] distributes the slack.
 ///
 /// # Examples
 ///
@@ -86,7 +94,7 @@
 /// let share = policy.slack / 4.0;
 /// let mut budget = Budget::default();
 /// assert!(budget.take(Instant(0), &policy, share));
-/// assert!(!budget.take(Instant(0), &policy, share), "the share is used up");
+/// assert!(!budget.take(Instant(0), &policy, share), "the share is spent");
 /// assert!(budget.take(Instant(12_001), &policy, share));
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -96,30 +104,31 @@
 }
 
 impl Budget {
-    /// Books a request.
+    /// Records a request.
     pub fn request(&mut self, now: Instant, policy: &Policy) {
-        let kept = Span(policy.reach().0 + policy.ahead().0);
-        forget(&mut self.requests, now, kept);
+        let max_age = Span(policy.reach().0 + policy.earning_span().0);
+        drop_older(&mut self.requests, now, max_age);
         self.requests.push_back(now);
     }
 
-    /// Returns what decides on one more extra arrival for an entry with this share of the slack.
+    /// Returns the balance for an entry with this share of the slack.
     ///
-    /// Every span of time up to now is looked at, not only the longest: a service may count from any moment.
+    /// Checks every interval that ends now, not only the longest one, because a service may start
+    /// its window at any time.
     pub fn balance(&mut self, now: Instant, policy: &Policy, share: f64) -> Balance {
-        forget(&mut self.extra, now, policy.reach());
-        let balance = |begins: Instant, spent: usize| {
-            let from = Instant(begins.0.saturating_sub(policy.ahead().0));
+        drop_older(&mut self.extra, now, policy.reach());
+        let balance = |start: Instant, spent: usize| {
+            let from = Instant(start.0.saturating_sub(policy.earning_span().0));
             let before = self.requests.partition_point(|time| *time < from);
             let requests = (self.requests.len() - before) as f64;
             Balance {
                 spent: spent as u64,
-                paid: requests * policy.ratio * PAID * COUNTED,
+                paid: requests * policy.ratio * EARNED_BEFORE * COUNTED_SHARE,
                 share,
             }
         };
         let newest_first = self.extra.iter().rev().enumerate();
-        let spans = newest_first.map(|(newer, begins)| balance(*begins, newer + 1));
+        let spans = newest_first.map(|(newer, start)| balance(*start, newer + 1));
         spans.fold(balance(now, 0), |least, span| {
             if span.left() < least.left() {
                 span
@@ -129,7 +138,7 @@
         })
     }
 
-    /// Takes one extra arrival; `false` when nothing is left.
+    /// Spends one extra arrival; returns `false` when nothing is left.
     pub fn take(&mut self, now: Instant, policy: &Policy, share: f64) -> bool {
         let is_allowed = self.balance(now, policy, share).allow();
         if is_allowed {
@@ -138,12 +147,12 @@
         is_allowed
     }
 
-    /// Books an extra arrival that its balance allow.
+    /// Records an extra arrival that [`Balance::allow`] permitted.
     pub fn book(&mut self, now: Instant) {
         self.extra.push_back(now);
     }
 
-    /// Gives back an extra arrival that was taken at a time and not sent.
+    /// Returns an extra arrival that was taken at a given time and not sent.
     pub fn give_back(&mut self, taken: Instant) {
         if let Some(index) = self.extra.iter().rposition(|time| *time == taken) {
             self.extra.remove(index);
@@ -151,8 +160,8 @@
     }
 }
 
-fn forget(times: &mut VecDeque<Instant>, now: Instant, kept: Span) {
-    while times.front().is_some_and(|time| now.since(*time) > kept) {
+fn drop_older(times: &mut VecDeque<Instant>, now: Instant, max_age: Span) {
+    while times.front().is_some_and(|time| now.since(*time) > max_age) {
         times.pop_front();
     }
 }
