--- a/crates/core/src/pipeline/reserve.rs
+++ b/crates/core/src/pipeline/reserve.rs
@@ -1,4 +1,4 @@
-//! Pieces of the retry budget's slack, of which an entry holds as many as it needs.
+//! The pieces of a retry budget's slack that an entry holds.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,34 +9,35 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// How many pieces the slack of each service is cut into: as many entries can hold a part at a time. More would make
-/// each worth less than a retry or two where the slack is small, and each take is told to all entries.
+/// The number of pieces that the slack of each service is divided into, and so the number of
+/// entries that can hold a part at a time. With more pieces, each is worth less than one or two
+/// retries where the slack is small, and each take is sent to all entries.
 pub const PIECES_PER_SERVICE: u16 = 32;
-/// How many pieces of a service nobody may hold before those that are not needed are given back.
+/// The number of free pieces of a service below which entries return the pieces that they do not
+/// need.
 pub const MIN_FREE_PIECES: usize = 8;
-/// The part of the pieces that entries hold while they need none, shared by all: the store that gives out the others
-/// may be away when servers die. With more entries than that makes pieces they hold none.
+/// Idle entries together hold one piece in this many, because the store that grants the others may
+/// be unavailable when servers die. With more entries than idle pieces, an idle entry holds none.
 const IDLE_PIECES_DIVISOR: u64 = 2;
 
 numbers! {
-    /// A piece of a service's slack, by its number from 0.
+    /// The index of a piece of a service's slack.
     Piece;
-    /// The lease under which an entry holds its pieces.
+    /// The identifier of the lease under which an entry holds its pieces.
     LeaseId;
 }
 
-/// The lease of this entry.
 #[derive(Clone, Copy, Debug)]
-struct Own {
+struct Lease {
     tenure: LeaseId,
-    /// When it was last renewed: the moment before the call.
+    /// When the last renewal was requested.
     renewed: Instant,
 }
 
 /// A piece in the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Record {
-    /// Under whose lease it was taken.
+    /// The lease under which it was taken.
     pub tenure: LeaseId,
     /// When it was written.
     pub revision: Revision,
@@ -44,20 +45,21 @@
 
 type Key = (Service, Piece);
 
-/// Which pieces of the slack this entry holds, and which are free.
+/// Tracks which pieces of the slack this entry holds, and which are free.
 ///
-/// The slack is for all entries together, and what each has sent is known to itself only. Each piece is therefore
-/// held by one entry at a time: it is a key in the store, written only where there is none, under the lease of the
-/// entry that takes it. The holder uses it only as long as, by its own clock, the lease lasts for longer than a
-/// retry matters. When the key goes, with the lease or before, nothing that was sent for it is in any window, so
-/// whoever takes it next may use it at once. No entry need know of any other: the sum of the pieces is the slack,
-/// whoever starts, dies or is cut off. It relies on the store to keep a lease for its time, and on a steady clock.
+/// All entries share the slack, but each known_revision only its own retries. Each piece is
+/// therefore held by one entry at a time: it is a key in the store that is created only if absent,
+/// under the lease of the entry that takes it. The holder uses it only while, by its own clock, the
+/// lease outlasts the time for which a retry counts. When the key goes, no window contains a retry
+/// that was sent for it, so the next holder may use it at once. The pieces always add up to the
+/// slack, whichever entries start, die or are partitioned. This relies on the store to keep leases
+/// for their full time, and on a steady clock.
 ///
-/// Deaths and loads are unequal, so pieces go where they are needed. Equal parts of a slack of 390 were under four
-/// retries for each of a hundred entries, and those whose streams met a death cut most of them.
+/// Entries hold pieces by need rather than in equal parts, because a dying server affects few
+/// entries, and an equal part is too small for them.
 ///
-/// Cost: a call for each take of some pieces and one for giving them back, and what a killed entry held is free
-/// only when its lease has ended.
+/// Each take of some pieces and each return costs one call. The pieces of an entry that is killed
+/// become free when its lease ends.
 ///
 /// # Examples
 ///
@@ -77,88 +79,90 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Reserve {
-    /// How long a lease lasts after its renewal.
+    /// The time to live of a lease after a renewal.
     lease: Span,
-    /// How long an extra arrival matters.
+    /// How long an extra arrival counts.
     reach: Span,
-    own: Option<Own>,
-    /// The pieces of this entry; when they were written, as far as the store has told.
+    own_lease: Option<Lease>,
+    /// The pieces of this entry, with the revisions of their writes where the store has reported
+    /// them.
     held: BTreeMap<Key, Option<Revision>>,
-    /// The pieces of others.
+    /// The pieces of other entries.
     taken: BTreeMap<Key, Record>,
-    /// Writes of this entry's pieces that it gives back; the store may tell of them once more.
+    /// Writes of pieces that this entry is returning; the store may report them once more.
     returned: BTreeSet<Revision>,
-    /// Up to where the store is known.
-    knows: Revision,
-    /// Whether pieces that were held in an earlier era of the store may still matter.
+    /// The revision up to which changes of the store are known.
+    known_revision: Revision,
+    /// Whether retries for pieces of an earlier era of the store may still count.
     is_settling: bool,
 }
 
 impl Reserve {
-    /// Returns the reserve of an entry that holds nothing.
+    /// Returns a reserve without a lease or pieces.
     #[must_use]
     pub fn new(lease: Span, reach: Span) -> Self {
         Self {
             lease,
             reach,
-            own: None,
+            own_lease: None,
             held: BTreeMap::new(),
             taken: BTreeMap::new(),
             returned: BTreeSet::new(),
-            knows: Revision::default(),
+            known_revision: Revision::default(),
             is_settling: false,
         }
     }
 
-    /// Takes that the store came back from an older copy: who holds what is to be read anew, and leases that it has
-    /// forgotten are given up.
+    /// Resets the reserve after the store was restored from an older copy.
     ///
-    /// Believed further, a piece whose key is gone would be taken by another entry as well, and lists of the store
-    /// would be ignored for as long as its revisions are smaller than those that were known.
+    /// Prevents two entries from using a piece whose key the store has lost, and lists of the store
+    /// from being ignored because their revisions are smaller than the known ones.
     pub fn restored(&mut self) {
         self.lost();
         self.taken.clear();
-        self.knows = Revision::default();
+        self.known_revision = Revision::default();
         self.is_settling = true;
     }
 
-    /// Takes whether pieces that were held in an earlier era may still matter; none are used meanwhile.
+    /// Sets whether retries for pieces of an earlier era may still count; no pieces are used
+    /// meanwhile.
     pub fn set_settling(&mut self, is_settling: bool) {
         self.is_settling = is_settling;
     }
 
-    /// Takes a new length of time for which extra arrivals matter.
+    /// Sets how long extra arrivals count.
     pub fn set_reach(&mut self, reach: Span) {
         self.reach = reach;
     }
 
-    /// Takes a new lease, granted by a call that was made at a time; pieces of an earlier one are given up.
-    pub fn begun(&mut self, tenure: LeaseId, asked: Instant) {
+    /// Applies a new lease, granted by a call made at `requested_at`, and drops the pieces of an
+    /// earlier one.
+    pub fn begun(&mut self, tenure: LeaseId, requested_at: Instant) {
         self.lost();
-        self.own = Some(Own {
+        self.own_lease = Some(Lease {
             tenure,
-            renewed: asked,
+            renewed: requested_at,
         });
     }
 
-    /// Takes that the lease was renewed by a call made at a time.
-    pub fn renewed(&mut self, asked: Instant) {
-        if let Some(own) = &mut self.own {
-            own.renewed = own.renewed.max(asked);
+    /// Records that the lease was renewed by a call made at `requested_at`.
+    pub fn renewed(&mut self, requested_at: Instant) {
+        if let Some(own) = &mut self.own_lease {
+            own.renewed = own.renewed.max(requested_at);
         }
     }
 
-    /// Gives the lease up once it has ended by the own clock.
+    /// Drops the lease once it has expired by this process's clock.
     pub fn expire(&mut self, now: Instant) {
-        let has_ended = |own: Own| now.since(own.renewed) >= self.lease;
-        if self.own.is_some_and(has_ended) {
+        let has_ended = |own: Lease| now.since(own.renewed) >= self.lease;
+        if self.own_lease.is_some_and(has_ended) {
             self.lost();
         }
     }
 
-    /// Takes that the lease has ended, or is to be used no more.
+    /// Drops the lease and its pieces.
     pub fn lost(&mut self) {
-        self.own = None;
+        self.own_lease = None;
         self.held.clear();
         self.returned.clear();
     }
@@ -166,17 +170,20 @@
     /// Returns the lease of this entry, if it has one.
     #[must_use]
     pub fn tenure(&self) -> Option<LeaseId> {
-        self.own.map(|own| own.tenure)
+        self.own_lease.map(|own| own.tenure)
     }
 
-    /// Tells whether pieces may be used: the lease lasts for longer than a retry matters.
+    /// Returns whether pieces may be used: the lease outlasts the time for which a retry counts.
     #[must_use]
     pub fn is_trusted(&self, now: Instant) -> bool {
         let trusted = Span(self.lease.0.saturating_sub(self.reach.0));
-        !self.is_settling && self.own.is_some_and(|own| now.since(own.renewed) < trusted)
+        !self.is_settling
+            && self
+                .own_lease
+                .is_some_and(|own| now.since(own.renewed) < trusted)
     }
 
-    /// Takes that pieces were written to the store under a lease.
+    /// Records pieces that were written to the store under a lease.
     pub fn took(
         &mut self,
         tenure: LeaseId,
@@ -191,9 +198,9 @@
         }
     }
 
-    /// Takes a piece as the store tells it.
+    /// Applies a piece that the store reports.
     ///
-    /// One of this entry's own may come as a surprise: the answer to the write that took it was lost.
+    /// It may be a new piece of this entry, if the response to its write was lost.
     pub fn written(&mut self, service: &Service, piece: Piece, record: Record) {
         let key = (service.clone(), piece);
         if self.tenure() != Some(record.tenure) {
@@ -202,7 +209,7 @@
             return;
         }
         if self.returned.contains(&record.revision) {
-            // Its removal is under way.
+            // The delete is in flight.
             self.taken.insert(key, record);
             return;
         }
@@ -210,7 +217,7 @@
         self.held.insert(key, Some(record.revision));
     }
 
-    /// Takes that a piece was removed from the store.
+    /// Applies the removal of a piece from the store.
     pub fn removed(&mut self, service: &Service, piece: Piece, revision: Revision) {
         let key = (service.clone(), piece);
         self.taken.remove(&key);
@@ -220,11 +227,11 @@
         }
     }
 
-    /// Takes all pieces that the store held at a revision.
+    /// Applies all pieces that the store held at a revision.
     ///
-    /// A read may be older than what is known; what came since is told again.
+    /// Ignores reads older than the known revision; later changes are received separately.
     pub fn replaced(&mut self, records: &BTreeMap<(Service, Piece), Record>, revision: Revision) {
-        if revision < self.knows {
+        if revision < self.known_revision {
             return;
         }
         self.taken.clear();
@@ -237,12 +244,12 @@
         self.followed(revision);
     }
 
-    /// Takes that everything up to a revision of the store is known.
+    /// Records that all changes up to a revision of the store are known.
     pub fn followed(&mut self, revision: Revision) {
-        self.knows = self.knows.max(revision);
+        self.known_revision = self.known_revision.max(revision);
     }
 
-    /// Returns the pieces of a service that nobody is known to hold.
+    /// Returns the pieces of a service without a known holder.
     #[must_use]
     pub fn free(&self, service: &Service) -> Vec<Piece> {
         let is_free = |piece: &Piece| {
@@ -260,7 +267,7 @@
         own.count() as u64
     }
 
-    /// Returns this entry's part of a service's slack.
+    /// Returns this entry's share of a service's slack.
     #[must_use]
     pub fn share(&self, now: Instant, service: &Service, slack: f64) -> f64 {
         if !self.is_trusted(now) {
@@ -269,10 +276,10 @@
         retries_per_piece(slack) * self.held(service) as f64
     }
 
-    /// Takes pieces of a service beyond `keep` out of use, for them to be removed from the store where they are as
-    /// they were written; at most `most`.
+    /// Stops using up to `most` pieces of a service beyond `keep`, and returns them with their
+    /// revisions so that the caller can delete them from the store if unchanged.
     ///
-    /// Only for an entry whose requests paid for all retries that still matter.
+    /// Call this only when requests have earned all retries that still count.
     pub fn give_back(
         &mut self,
         service: &Service,
@@ -282,16 +289,16 @@
         let spare = self.held(service).saturating_sub(keep) as usize;
         let own = self.held.iter().filter(|((of, _), _)| of == service);
         let known = own.filter_map(|((_, piece), written)| Some((*piece, (*written)?)));
-        let back: Vec<(Piece, Revision)> = known.take(spare.min(most)).collect();
+        let pieces: Vec<(Piece, Revision)> = known.take(spare.min(most)).collect();
         let tenure = self.tenure().unwrap_or_default();
-        for (piece, revision) in &back {
+        for (piece, revision) in &pieces {
             let key = (service.clone(), *piece);
             self.held.remove(&key);
             self.returned.insert(*revision);
             let revision = *revision;
             self.taken.insert(key, Record { tenure, revision });
         }
-        back
+        pieces
     }
 }
 
@@ -301,13 +308,14 @@
     slack / f64::from(PIECES_PER_SERVICE)
 }
 
-/// Returns how many pieces of a service one of `entries` holds while it needs none.
+/// Returns how many pieces of a service each of `entries` holds while idle.
 #[must_use]
 pub fn idle_pieces(entries: u64) -> u64 {
     u64::from(PIECES_PER_SERVICE) / IDLE_PIECES_DIVISOR / entries.max(1)
 }
 
-/// Returns how many pieces of a service one of `entries` may hold: all but those that the others hold at rest.
+/// Returns the maximum number of pieces of a service for each of `entries`: all but the idle pieces
+/// of the others.
 #[must_use]
 pub fn max_pieces(entries: u64) -> u64 {
     let others = entries.saturating_sub(1);
