--- a/crates/core/src/pipeline/outage.rs
+++ b/crates/core/src/pipeline/outage.rs
@@ -1,21 +1,21 @@
-//! Whether the store is away for all entries, or only for some.
+//! Distinguishes an outage of the store for all entries from one for some of them.
 
-/// What the other entries say of the store.
+/// The state of the store as other entries report it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Observation {
-    /// How many other entries there are.
+    /// The number of other entries.
     pub peers: u64,
-    /// How many of them were reachable lately.
+    /// The number of entries that reported recently.
     pub reachable: u64,
-    /// How many of those the store answers.
+    /// The number of those that the store answers.
     pub with_store: u64,
 }
 
-/// Tells whether the store answers no other entry, as far as most of them are reachable.
+/// Returns whether no other entry reaches the store, provided that at least half of them reported.
 ///
-/// An entry that the store answers may have been made planner, and those that are silent may be cut off
-/// together with the store. One planner more than one would place layers against each other: with half
-/// of the others silent, or a single one with_store, the answer is no.
+/// An entry that reaches the store may have become planner, and silent entries may be on the
+/// store's side of a partition. Two planners would place layers against each other, so this returns
+/// `false` if more than half of the others are silent, or if a single one reaches the store.
 ///
 /// # Examples
 ///
