--- a/crates/core/src/pipeline/deputy.rs
+++ b/crates/core/src/pipeline/deputy.rs
@@ -1,4 +1,4 @@
-//! Which entry gives orders while the store can make no planner.
+//! Elects an entry as deputy planner while the store is unavailable.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,20 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// How long the planner must not have been heard to count as gone: entries tell one another several
-/// times a second, so several words in a row were lost.
+/// How long the planner must be silent to count as gone. Entries report several times a second, so
+/// several reports in a row were lost.
 pub const PLANNER_TIMEOUT: Span = Span(1_200);
 
-/// What entries say of the planner.
+/// The planner and its fencing token, as other entries report them.
 ///
-/// A planner that stops or dies while the store is away leaves nobody to mend what dies after it: the
-/// store must be back, and the lease run out, before there is another. Until then the entry whose address
-/// is the lowest of those heard stands in, under the fencing number of the one before.
+/// If the planner stops or dies while the store is unavailable, no successor can be elected until
+/// the store is back and the lease expires. Until then the reachable entry with the lowest address
+/// acts as planner, under the last planner's fencing token.
 ///
-/// Entries that don't hear one another may choose two deputies. That costs moves and breaks nothing: the
-/// plan is a function of what servers hold, each order names the number of orders that its server must
-/// have taken, and no order exceeds a server's memory. The next planner's number ends both.
+/// Entries that do not reach one another may elect two deputies. This costs extra moves, but is
+/// safe: the plan is a function of what servers hold, each order names the number of orders that
+/// its server must have applied, and no order exceeds a server's memory. The next planner's token
+/// supersedes both.
 ///
 /// # Examples
 ///
@@ -37,16 +38,16 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Election {
-    /// Who last said that it is the planner, and when.
+    /// The last entry that reported to be planner, and when.
     planner: Option<(SocketAddr, Instant)>,
-    /// The highest fencing number that was heard.
+    /// The highest fencing token received.
     token: Option<Token>,
-    /// The highest number under which an order of this entry was refused, since a later one was used.
+    /// The highest token under which an order of this entry was refused because of a newer one.
     refused: Option<Token>,
 }
 
 impl Election {
-    /// Takes an entry's word on whether it is the planner, and under which number.
+    /// Applies an entry's report on whether it is planner, and under which token.
     pub fn heard(&mut self, now: Instant, entry: SocketAddr, token: Option<Token>) {
         if token.is_some() && token >= self.token {
             self.token = token;
@@ -54,20 +55,20 @@
             return;
         }
         if self.planner.is_some_and(|(planner, _)| planner == entry) {
-            // It has resigned.
+            // The planner has resigned.
             self.planner = None;
         }
     }
 
-    /// Books that an order was refused since a later planner has given orders.
+    /// Records that an order was refused because of a newer planner.
     ///
-    /// That planner may be served by the store and heard by nobody here; a deputy that began again under
-    /// the same number would be refused for as long as the outage lasts.
+    /// That planner may reach the store but no entry here. Prevents a deputy from repeating orders
+    /// under a token that servers refuse for as long as the outage lasts.
     pub fn refused(&mut self, token: Token) {
         self.refused = self.refused.max(Some(token));
     }
 
-    /// Returns who is the planner, as far as it is heard.
+    /// Returns the planner, if it reported recently.
     #[must_use]
     pub fn planner(&self, now: Instant) -> Option<SocketAddr> {
         let heard = self
@@ -76,8 +77,8 @@
         heard.map(|(planner, _)| planner)
     }
 
-    /// Returns the number under which this entry is to give orders, if it is to stand in; `others` are
-    /// the entries that it hears.
+    /// Returns the token under which this entry is to give orders, if it is to act as planner;
+    /// `others` are the entries that it reaches.
     pub fn deputy_token(
         &self,
         now: Instant,
