--- a/crates/core/src/pipeline/era.rs
+++ b/crates/core/src/pipeline/era.rs
@@ -1,27 +1,28 @@
 //! Generations of the store's data.
 //!
-//! A store may come back from a copy that is some seconds old. It has forgotten what it acknowledged since, and its
-//! revisions are given out again; each time the era rises by one, and each of its answers tells it.
+//! The store may be restored from a copy that is some seconds old. It has then lost later writes,
+//! and reuses their revisions. The era increases with each restore, and every response of the store
+//! carries it.
 
 use crate::number::numbers;
 
 numbers! {
-    /// A generation of the store's data.
+    /// A generation of the store's data, which increases with each restore.
     Era;
 }
 
-/// What the era that an answer tells means for the answer.
+/// How the era of a response compares with the newest one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Freshness {
-    /// It is of the newest era, or tells none.
+    /// The newest era, or none.
     Current,
-    /// It is the first of a later era: what was known of the store may be forgotten there.
+    /// The first response of a later era: the store may have lost what it reported before.
     Advanced,
-    /// It is of an earlier era: what it says may be forgotten by now.
+    /// An earlier era: the store may have lost what the response reports.
     Stale,
 }
 
-/// The newest era of a store's answers.
+/// Tracks the newest era of a store's responses.
 ///
 /// # Examples
 ///
@@ -30,7 +31,7 @@
 /// # use jujube_core::pipeline::era::Tracker;
 /// # use jujube_core::pipeline::era::Freshness;
 /// let mut tracker = Tracker::default();
-/// assert_eq!(tracker.observe(Some(Era(4))), Freshness::Current, "the first one that is heard");
+/// assert_eq!(tracker.observe(Some(Era(4))), Freshness::Current, "the first era");
 /// assert_eq!(tracker.observe(Some(Era(5))), Freshness::Advanced);
 /// assert_eq!(tracker.observe(Some(Era(4))), Freshness::Stale);
 /// assert_eq!(tracker.observe(None), Freshness::Current);
@@ -42,32 +43,33 @@
 }
 
 impl Tracker {
-    /// Takes the era that an answer tells.
-    pub fn observe(&mut self, told: Option<Era>) -> Freshness {
-        let Some(told) = told else {
+    /// Applies the era of a response.
+    pub fn observe(&mut self, era: Option<Era>) -> Freshness {
+        let Some(era) = era else {
             return Freshness::Current;
         };
         let newest = self.newest;
-        self.newest = newest.max(Some(told));
+        self.newest = newest.max(Some(era));
         match newest {
-            Some(newest) if told > newest => Freshness::Advanced,
-            Some(newest) if told < newest => Freshness::Stale,
+            Some(newest) if era > newest => Freshness::Advanced,
+            Some(newest) if era < newest => Freshness::Stale,
             _ => Freshness::Current,
         }
     }
 
-    /// Returns the newest era; `None` while no answer told one.
+    /// Returns the newest era, or `None` if no response carried one.
     #[must_use]
     pub fn newest(&self) -> Option<Era> {
         self.newest
     }
 }
 
-/// Whether an era has lasted for so long that nothing matters that was held in the one before.
+/// Whether an era has lasted long enough that nothing held in the previous one counts any more.
 ///
-/// Whoever first sees a new era marks it in the store, and beside the mark writes a key under a lease of the length
-/// for which something held before may matter. The mark can be missing only in a store that has just come back, so
-/// the key stands for long enough whoever wrote it, and entries that start meanwhile see it as well.
+/// The first entry that sees a new era marks it in the store, and writes a key beside the mark
+/// under a lease for as long as earlier holdings may count. A mark is missing only right after a
+/// restore, so the key lives long enough whichever entry wrote it, and also entries that start
+/// meanwhile see it.
 ///
 /// # Examples
 ///
@@ -75,7 +77,7 @@
 /// # use jujube_core::pipeline::era::Era;
 /// # use jujube_core::pipeline::era::Settling;
 /// let mut settling = Settling::default();
-/// assert!(settling.is_over(), "a store that tells no era forgets nothing");
+/// assert!(settling.is_over(), "a store without eras loses nothing");
 /// settling.set_era(Some(Era(5)));
 /// assert!(!settling.is_over());
 /// settling.set_marked(Era(5), true);
@@ -87,55 +89,55 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Settling {
     era: Option<Era>,
-    /// This process has lived in the era before.
-    has_risen: bool,
+    /// Whether this process has seen the previous era.
+    has_advanced: bool,
     is_marked: bool,
     is_held: bool,
 }
 
 impl Settling {
-    /// Begins with an era of which nothing is known yet, unless it is known already.
+    /// Starts a new era, unless it is the current one.
     pub fn set_era(&mut self, era: Option<Era>) {
         if self.era != era {
             *self = Self {
                 era,
-                has_risen: self.era.is_some(),
+                has_advanced: self.era.is_some(),
                 ..Self::default()
             };
         }
     }
 
-    /// Tells whether something may have been held in an era before this one, of which the store shows marks and holdings
-    /// or none.
+    /// Returns whether something may have been held in an earlier era. `shows` says whether the
+    /// store contains marks or holdings.
     ///
-    /// In a store that shows nothing nobody held anything, unless its copy is older than the first mark; those that
-    /// lived in the era before know better.
+    /// An empty store had no holdings, unless its copy is older than the first mark; processes that
+    /// have seen the previous era detect this.
     #[must_use]
     pub fn had_before(&self, shows: bool) -> bool {
-        self.has_risen || shows
+        self.has_advanced || shows
     }
 
-    /// Takes whether an era is marked.
+    /// Sets whether an era is marked.
     pub fn set_marked(&mut self, era: Era, is_marked: bool) {
         if self.era == Some(era) {
             self.is_marked = is_marked;
         }
     }
 
-    /// Takes whether the key beside an era's mark stands.
+    /// Sets whether the key beside an era's mark exists.
     pub fn set_held(&mut self, era: Era, is_held: bool) {
         if self.era == Some(era) {
             self.is_held = is_held;
         }
     }
 
-    /// Tells whether the era is still to be marked.
+    /// Returns whether the era has yet to be marked.
     #[must_use]
     pub fn lacks_mark(&self) -> bool {
         self.era.is_some() && !self.is_marked
     }
 
-    /// Tells whether nothing matters any more that was held in the era before.
+    /// Returns whether nothing held in the previous era counts any more.
     #[must_use]
     pub fn is_over(&self) -> bool {
         self.era.is_none() || (self.is_marked && !self.is_held)
