--- a/crates/core/src/pipeline/liveness.rs
+++ b/crates/core/src/pipeline/liveness.rs
@@ -1,4 +1,4 @@
-//! What is believed of a backend server on which a request ran.
+//! Assesses whether a backend server on which a request ran is alive.
 
 use std::fmt;
 
@@ -8,35 +8,35 @@
 use crate::pipeline::suspicion::Suspicion;
 use crate::time::Instant;
 
-/// Why a server counts as ended.
+/// The evidence that a server has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Evidence {
-    /// It is not registered any more.
+    /// It is no longer registered.
     Unregistered,
-    /// Nobody listens at its address, and an answer that was under way there broke off.
+    /// Its address refuses connections, and a response from it broke off.
     Refuses,
-    /// It does not answer.
+    /// It does not answer health checks.
     Silent,
 }
 
-/// What is believed of a server on which a request ran.
+/// The assumed state of a server on which a request ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Liveness {
-    /// It lives.
+    /// It is alive.
     Alive,
-    /// It is suspected, and may count as ended soon.
+    /// It is suspected, and may soon count as ended.
     Suspected,
-    /// It has ended, and what it did is lost.
+    /// It has ended, and its work is lost.
     Ended(Evidence),
 }
 
 impl Liveness {
-    /// Returns what is believed of a server.
+    /// Assesses a server.
     ///
-    /// One that drains refuses new connections seconds before it exits, and serves on those that it has; answers
-    /// that break off there may as well be lost with another part of their paths. Were that taken for its end, all
-    /// requests that ran on it could move to one more server than their routes allow, while it lives. Its
-    /// registration goes when it exits, so nothing is lost by waiting for that.
+    /// A draining server refuses new connections seconds before it exits and goes on serving the
+    /// open ones; responses that break off there may be due to another part of their paths.
+    /// Counting it as ended would let its requests run on one more server than their routes allow.
+    /// Its registration is removed when it exits, so waiting for that is safe.
     ///
     /// # Examples
     ///
@@ -49,7 +49,8 @@
     /// # use jujube_core::time::Instant;
     /// # use jujube_core::time::Span;
     /// let (suspicion, local_health) = (Suspicion::default(), LocalHealth::new(Span(25)));
-    /// let liveness = Liveness::assess(&"a".into(), Instant(0), &Roster::default(), &suspicion, &local_health);
+    /// let (server, roster) = ("a".into(), Roster::default());
+    /// let liveness = Liveness::assess(&server, Instant(0), &roster, &suspicion, &local_health);
     /// assert_eq!(liveness, Liveness::Ended(Evidence::Unregistered));
     /// ```
     #[must_use]
