--- a/crates/core/src/pipeline/attempts.rs
+++ b/crates/core/src/pipeline/attempts.rs
@@ -1,38 +1,37 @@
-//! The runs of one request, against its route's limit of servers.
+//! Counts the runs of a request against its route's limit of servers.
 
 use crate::pipeline::liveness::Liveness;
 use crate::pipeline::server::Incarnation;
 use crate::time::Instant;
 use crate::time::Span;
 
-/// How many runs of one request may be lost with their servers before it is given up.
-const MOST_LOST: usize = 2;
+/// The maximum number of runs of a request that may be lost with their servers.
+const MAX_LOST_RUNS: usize = 2;
 
-/// How long after a run was lost its server must count as ended for the two to have ended together. A question is
-/// answered within a tenth of a second or not at all, and half a second of silence is an end.
-const SETTLES: Span = Span(1_000);
+/// How long after the loss of a run its server may be found ended for both to count as one failure.
+/// Half a second of silence counts as an end, and a health check takes at most 0.1 s.
+const SETTLE_WINDOW: Span = Span(1_000);
 
 /// Whether a request may run on one more server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Permission {
-    /// It may now.
+    /// It may run now.
     Allowed,
-    /// It may once a server that is suspected counts as ended.
+    /// It may run once a suspected server counts as ended.
     Pending,
-    /// It may not.
+    /// It may not run.
     Denied,
 }
 
-/// What became of a run.
+/// The outcome of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Outcome {
-    /// It is under way.
     Running,
-    /// It was lost, and whether its server ended with it is not known yet.
+    /// It was lost; whether its server has ended is not known yet.
     Lost(Instant),
-    /// Its server ended with it: what it did is lost.
+    /// Its server ended with it, and its work is lost.
     Ended,
-    /// Its server lived on without it.
+    /// Its server outlived it.
     Spent,
 }
 
@@ -42,12 +41,13 @@
     outcome: Outcome,
 }
 
-/// The servers that a request was sent to and that may have run it, in order.
+/// The servers that may have run a request, in order.
 ///
-/// A route limits on how many servers a request runs. Those that ended while they ran it do not count, since what
-/// they did is lost. One that was left alive counts for good, whatever becomes of it later: judged by a list of
-/// servers afterwards, each leaver whose registration goes would free the requests that were taken off it for one
-/// server more. The runs are limited as well, for callers whose streams meet one death after the other.
+/// A route limits the number of servers on which a request runs. Servers that ended while running
+/// it do not count, since their work is lost. A server that was alive when the request left it
+/// always counts, even if its registration is removed later; otherwise each planned exit would
+/// permit one more server. The total number of runs is limited as well, for streams that lose one
+/// server after another.
 ///
 /// # Examples
 ///
@@ -67,54 +67,57 @@
 ///
 /// attempts.lost(Instant(0), &"b".into());
 /// attempts.settle(Instant(2_000), |_| Liveness::Alive);
-/// assert_eq!(attempts.outlook(2, |_| dead), Permission::Denied, "both lived on");
+/// let permission = attempts.outlook(2, |_| dead);
+/// assert_eq!(permission, Permission::Denied, "both servers outlived their runs");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Attempts(Vec<Run>);
 
 impl Attempts {
-    /// Books a run that is being sent to a server.
+    /// Records a run that is being sent to a server.
     pub fn begin(&mut self, server: Incarnation) {
         let outcome = Outcome::Running;
         self.0.push(Run { server, outcome });
     }
 
-    /// Takes back the last run: the server says that it has not run the request, or never got it.
+    /// Removes the last run: the server reports that it has not run the request, or never received
+    /// it.
     pub fn take_back(&mut self) {
         self.0.pop();
     }
 
-    /// Books that the run on a server broke off, or that its server was found dead.
+    /// Records that the run on a server broke off, or that its server was found dead.
     pub fn lost(&mut self, now: Instant, server: &Incarnation) {
         self.end(server, Outcome::Lost(now));
     }
 
-    /// Books that the run on a server was given up, or has failed, while the server lived.
+    /// Records that the run on a live server failed or was cancelled.
     pub fn left(&mut self, server: &Incarnation) {
         self.end(server, Outcome::Spent);
     }
 
     fn end(&mut self, server: &Incarnation, outcome: Outcome) {
-        let is_it = |run: &&mut Run| run.server == *server && run.outcome == Outcome::Running;
-        if let Some(run) = self.0.iter_mut().rev().find(is_it) {
+        let is_running_there =
+            |run: &&mut Run| run.server == *server && run.outcome == Outcome::Running;
+        if let Some(run) = self.0.iter_mut().rev().find(is_running_there) {
             run.outcome = outcome;
         }
     }
 
-    /// Tells whether it is not known yet of some run whether its server ended with it.
+    /// Returns whether there is a lost run whose server may have ended with it.
     #[must_use]
     pub fn is_unsettled(&self) -> bool {
         let is_lost = |run: &Run| matches!(run.outcome, Outcome::Lost(_));
         self.0.iter().any(is_lost)
     }
 
-    /// Settles which servers ended with their runs, by what is believed of them now.
+    /// Decides which servers ended with their lost runs.
     pub fn settle(&mut self, now: Instant, liveness: impl Fn(&Incarnation) -> Liveness) {
         for run in &mut self.0 {
             let Outcome::Lost(lost) = run.outcome else {
                 continue;
             };
-            if now.since(lost) > SETTLES {
+            if now.since(lost) > SETTLE_WINDOW {
                 run.outcome = Outcome::Spent;
             } else if matches!(liveness(&run.server), Liveness::Ended(_)) {
                 run.outcome = Outcome::Ended;
@@ -127,27 +130,28 @@
         self.0.iter().map(|run| &run.server)
     }
 
-    /// Returns how many runs there were.
+    /// Returns the number of runs.
     #[must_use]
     pub fn runs(&self) -> usize {
         self.0.len()
     }
 
-    /// Tells whether the request may run on one more server, on a route that allows `limit` of them.
+    /// Returns whether the request may run on one more server, on a route that allows `limit` of
+    /// them.
     pub fn outlook(&self, limit: usize, liveness: impl Fn(&Incarnation) -> Liveness) -> Permission {
-        if self.runs() >= limit + MOST_LOST {
+        if self.runs() >= limit + MAX_LOST_RUNS {
             return Permission::Denied;
         }
-        let (mut spent, mut doubtful) = (0, 0);
+        let (mut spent, mut suspected) = (0, 0);
         for run in &self.0 {
             match (run.outcome, liveness(&run.server)) {
                 (Outcome::Ended, _) | (Outcome::Running | Outcome::Lost(_), Liveness::Ended(_)) => {
                 }
                 (Outcome::Spent, _) | (_, Liveness::Alive) => spent += 1,
-                (_, Liveness::Suspected) => doubtful += 1,
+                (_, Liveness::Suspected) => suspected += 1,
             }
         }
-        if spent + doubtful < limit {
+        if spent + suspected < limit {
             return Permission::Allowed;
         }
         if spent < limit {
