--- a/crates/core/src/pipeline/suspicion.rs
+++ b/crates/core/src/pipeline/suspicion.rs
@@ -1,4 +1,4 @@
-//! Backend servers that failed and have not shown themselves alive since.
+//! Tracks backend servers that failed and have not answered since.
 
 use std::collections::BTreeMap;
 
@@ -8,43 +8,46 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// The first pause before a suspect is asked again.
+/// The first delay before a suspect is checked again.
 ///
-/// A crashed backend server registers anew under another name, so waiting costs only those that
-/// are alive; a few hundred milliseconds keep a server that reset one connection in use.
-const FIRST_PAUSE: Span = Span(200);
-/// The longest pause of one that asks alone; a suspect that left is taken off the list by its registration.
-const LONGEST_PAUSE: Span = Span(1_600);
+/// Short, so that a server that reset a single connection stays in use; a crashed server registers
+/// under another name.
+const FIRST_DELAY: Span = Span(200);
+/// The longest delay for an entry that checks alone. A suspect that left is removed with its
+/// registration.
+const MAX_DELAY: Span = Span(1_600);
 
-/// How many other entries must suspect a server for it to be avoided on their word: one that is cut off or wrong
-/// accuses all.
-const CREDIBLE: u64 = 2;
+/// How many other entries must suspect a server for it to be avoided. A single entry that is
+/// partitioned or faulty suspects all servers.
+const MIN_PEER_REPORTS: u64 = 2;
 
-/// How long a server must have been suspected to count as ended; it is asked again in that time.
-const ENDED: Span = Span(500);
-/// How long before a server is suspected it was asked: an answer is waited for for a tenth of a second, a
-/// connection for less than half.
-const ASKED: Span = Span(500);
+/// How long a server must be suspected to count as ended; it is checked again in that time.
+const ENDED_AFTER: Span = Span(500);
+/// The maximum age of a check at the time its server becomes suspected: the timeout of a response
+/// is 0.1 s, that of a connection less than 0.5 s.
+const MAX_CHECK_AGE: Span = Span(500);
 
-/// How long a server must have been suspected for its layers to be placed anew: it was asked twice more.
+/// How long a server must be suspected before its layers are replaced; it is checked twice in that
+/// time.
 pub const REPLACE_AFTER: Span = Span(800);
-/// The same where no other entry suspects it: it was asked four times more.
+/// How long a server that no other entry suspects must be suspected before its layers are replaced;
+/// it is checked four times in that time.
 pub const REPLACE_AFTER_ALONE: Span = Span(2_000);
 
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
     since: Instant,
-    ask_at: Instant,
-    pause: Span,
-    /// Nobody listens at its address.
-    is_absent: bool,
+    check_at: Instant,
+    delay: Span,
+    /// Its address refuses connections.
+    is_refusing: bool,
 }
 
-/// Who is suspected.
+/// The suspected servers.
 ///
-/// The registrations lag by seconds: a crashed server stays listed for three heartbeats. A request
-/// that finds a server dead therefore books it here, and the next ones go elsewhere until the
-/// server has answered a question.
+/// Registrations lag by seconds: a crashed server stays listed for three heartbeats. A request that
+/// finds a server dead therefore records it here, and later requests use other servers until it
+/// answers a health check.
 ///
 /// # Examples
 ///
@@ -63,42 +66,44 @@
     suspects: BTreeMap<Incarnation, Suspect>,
     /// How many other entries suspect a server.
     peer_reports: BTreeMap<Incarnation, u64>,
-    /// When an answer last broke off that a server was giving.
+    /// When a response from a server last broke off.
     broken: BTreeMap<Incarnation, Instant>,
 }
 
 impl Suspicion {
-    /// Books a failure; `true` when the server was not suspected before.
+    /// Records a failure; returns `true` if the server was not suspected before.
     pub fn suspect(&mut self, now: Instant, server: &Incarnation) -> bool {
         if self.suspects.contains_key(server) {
             return false;
         }
         let suspect = Suspect {
             since: now,
-            ask_at: now.plus(FIRST_PAUSE),
-            pause: FIRST_PAUSE,
-            is_absent: false,
+            check_at: now.plus(FIRST_DELAY),
+            delay: FIRST_DELAY,
+            is_refusing: false,
         };
         self.suspects.insert(server.clone(), suspect);
         true
     }
 
-    /// Tells whether a server is suspected.
+    /// Returns whether a server is suspected.
     #[must_use]
     pub fn is_suspected(&self, server: &Incarnation) -> bool {
         self.suspects.contains_key(server)
     }
 
-    /// Returns who is suspected.
+    /// Returns the suspected servers.
     pub fn suspects(&self) -> impl Iterator<Item = &Incarnation> {
         self.suspects.keys()
     }
 
-    /// Takes how many other entries suspect which servers; returns those of whom nobody had told before.
+    /// Sets how many other entries suspect which servers; returns those that were not reported
+    /// before.
     ///
-    /// Words do not make a suspect: one entry that is cut off, late or wrong accuses all servers, and would have all
-    /// others leave them. Whoever has requests at a server that others suspect asks it; the rest prefer others
-    /// while it is so. A suspect that others trust again is asked at once, so that one entry's question serves all.
+    /// Reports alone do not make a suspect: an entry that is partitioned, delayed or faulty
+    /// suspects all servers, and would make the others avoid them. An entry with requests at a
+    /// reported server checks it; the others prefer other servers meanwhile. A suspect that is no
+    /// longer reported is checked at once, so that one entry's check serves all.
     pub fn set_peer_reports(
         &mut self,
         now: Instant,
@@ -107,14 +112,14 @@
         let before = std::mem::replace(&mut self.peer_reports, reports);
         for (server, suspect) in &mut self.suspects {
             if before.contains_key(server) && !self.peer_reports.contains_key(server) {
-                suspect.ask_at = now;
+                suspect.check_at = now;
             }
         }
-        let fresh = self
+        let added = self
             .peer_reports
             .keys()
             .filter(|server| !before.contains_key(*server));
-        fresh.cloned().collect()
+        added.cloned().collect()
     }
 
     /// Returns how many other entries suspect a server.
@@ -123,47 +128,49 @@
         self.peer_reports.get(server).copied().unwrap_or(0)
     }
 
-    /// Tells whether so many other entries suspect a server that it is to be avoided.
+    /// Returns whether enough other entries suspect a server for it to be avoided.
     #[must_use]
     pub fn is_widely_suspected(&self, server: &Incarnation) -> bool {
-        self.peer_reports(server) >= CREDIBLE
+        self.peer_reports(server) >= MIN_PEER_REPORTS
     }
 
-    /// Returns when a server came under suspicion last.
+    /// Returns when the latest suspect was added.
     #[must_use]
     pub fn newest(&self) -> Option<Instant> {
         self.suspects.values().map(|suspect| suspect.since).max()
     }
 
-    /// Books that a suspected server's address refuses connections, which no lateness of this process explains.
+    /// Records that a suspected server's address refuses connections, which a delay of this process
+    /// cannot cause.
     pub fn set_refusing(&mut self, server: &Incarnation) {
         if let Some(suspect) = self.suspects.get_mut(server) {
-            suspect.is_absent = true;
+            suspect.is_refusing = true;
         }
     }
 
-    /// Tells whether a suspected server's address refuses connections.
+    /// Returns whether a suspected server's address refuses connections.
     #[must_use]
     pub fn is_refusing(&self, server: &Incarnation) -> bool {
         self.suspects
             .get(server)
-            .is_some_and(|suspect| suspect.is_absent)
+            .is_some_and(|suspect| suspect.is_refusing)
     }
 
-    /// Books that an answer which a server was giving broke off by itself.
+    /// Records that a response from a server broke off.
     pub fn connection_broken(&mut self, now: Instant, server: &Incarnation) {
         self.broken.insert(server.clone(), now);
     }
 
-    /// Returns why a suspected server counts as ended, if it does.
+    /// Returns the evidence that a suspected server has ended, if any.
     ///
-    /// It was asked again in vain, this process was on time itself from the first question on, and reached others
-    /// meanwhile. An entry whose link is full finds all servers silent. Took it them for ended, a request would run on
-    /// one more server than its route allows, while the one that was given up goes on with it.
+    /// A silent server counts as ended if it did not answer further checks, while this process was
+    /// on time from the first check on and reached other servers. Otherwise an entry on a saturated
+    /// link would find all servers dead, and run requests on one more server than their routes
+    /// allow.
     ///
-    /// Or it refuses connections, and an answer that it was giving broke off since. One that leaves as planned refuses
-    /// new connections seconds before it exits and serves on those that it has: what only refuses may live. The
-    /// connections of one that died have all ended.
+    /// A server that refuses connections counts as ended if a response from it also broke off. A
+    /// planned exit refuses new connections seconds before it ends, and serves the open ones;
+    /// refusal alone is no evidence.
     #[must_use]
     pub fn evidence(
         &self,
@@ -172,25 +179,28 @@
         local_health: &LocalHealth,
     ) -> Option<Evidence> {
         let suspect = self.suspects.get(server)?;
-        if now.since(suspect.since) < ENDED {
+        if now.since(suspect.since) < ENDED_AFTER {
             return None;
         }
-        let asked = Instant(suspect.since.0.saturating_sub(ASKED.0));
-        if suspect.is_absent {
-            let broke = self.broken.get(server).is_some_and(|broke| *broke >= asked);
+        let checked_at = Instant(suspect.since.0.saturating_sub(MAX_CHECK_AGE.0));
+        if suspect.is_refusing {
+            let broke = self
+                .broken
+                .get(server)
+                .is_some_and(|broke| *broke >= checked_at);
             return broke.then_some(Evidence::Refuses);
         }
-        let was_sound =
-            !local_health.was_delayed(asked, now) && local_health.was_connected(suspect.since);
-        was_sound.then_some(Evidence::Silent)
+        let was_healthy =
+            !local_health.was_delayed(checked_at, now) && local_health.was_connected(suspect.since);
+        was_healthy.then_some(Evidence::Silent)
     }
 
-    /// Tells whether a suspected server's layers are to be placed anew.
+    /// Returns whether a suspected server's layers are to be replaced.
     ///
-    /// A planner on a link that loses packets finds servers silent that all others reach. Were their layers given to
-    /// others for that, requests would be refused until those have loaded, and nothing was gone. So silence counts if
-    /// this process was on time and reached others, and soon only if another entry found the same. A server that
-    /// refuses connections takes no request, whatever becomes of it.
+    /// A planner on a lossy link finds servers silent that all others reach. Replacing their layers
+    /// would refuse requests until other servers have loaded them, without need. Silence therefore
+    /// counts only if this process was on time and reached other servers, and takes longer unless
+    /// another entry confirms it. A server that refuses connections takes no requests in any case.
     ///
     /// # Examples
     ///
@@ -217,40 +227,39 @@
         let Some(suspect) = self.suspects.get(server) else {
             return false;
         };
-        let lasts = now.since(suspect.since);
-        if suspect.is_absent {
-            return lasts >= REPLACE_AFTER;
+        let elapsed = now.since(suspect.since);
+        if suspect.is_refusing {
+            return elapsed >= REPLACE_AFTER;
         }
         let is_silent = self.evidence(now, server, local_health).is_some();
-        let is_shared = self.peer_reports(server) > 0;
-        is_silent
-            && lasts
-                >= if is_shared {
-                    REPLACE_AFTER
-                } else {
-                    REPLACE_AFTER_ALONE
-                }
+        let is_confirmed = self.peer_reports(server) > 0;
+        let required = if is_confirmed {
+            REPLACE_AFTER
+        } else {
+            REPLACE_AFTER_ALONE
+        };
+        is_silent && elapsed >= required
     }
 
-    /// Returns the suspects to ask now; each is due again after a longer pause.
+    /// Returns the suspects to check now, and schedules their next checks after longer delays.
     ///
-    /// The pauses grow with the number of others who ask as well, so that a suspect is asked as often by a hundred
-    /// entries as by one.
+    /// The delays grow with the number of other entries that check as well, so that a hundred
+    /// entries check a suspect as often as one.
     pub fn due(&mut self, now: Instant) -> Vec<Incarnation> {
         let mut due = Vec::new();
         for (server, suspect) in &mut self.suspects {
-            if suspect.ask_at > now {
+            if suspect.check_at > now {
                 continue;
             }
             let others = self.peer_reports.get(server).copied().unwrap_or(0);
-            suspect.pause = Span((suspect.pause.0 * 2).min(LONGEST_PAUSE.0));
-            suspect.ask_at = now.plus(Span(suspect.pause.0 * (1 + others)));
+            suspect.delay = Span((suspect.delay.0 * 2).min(MAX_DELAY.0));
+            suspect.check_at = now.plus(Span(suspect.delay.0 * (1 + others)));
             due.push(server.clone());
         }
         due
     }
 
-    /// Takes a server that answered off the list; returns how long it was on it.
+    /// Removes a server that answered; returns since when it was suspected.
     pub fn clear(&mut self, server: &Incarnation) -> Option<Instant> {
         self.suspects.remove(server).map(|suspect| suspect.since)
     }
