--- a/crates/core/src/pipeline/local_health.rs
+++ b/crates/core/src/pipeline/local_health.rs
@@ -1,20 +1,20 @@
-//! Whether this process keeps up with its own work, and reaches others.
+//! Detects delays and lost connectivity of this process itself.
 
 use crate::time::Instant;
 use crate::time::Span;
 
-/// How late a beat may be. Usual ones are a few milliseconds late; a question to a server waits for a tenth of
-/// a second, so half of that makes its silence worth nothing.
-const LATE: Span = Span(50);
+/// The maximum delay of a tick: half of the timeout of a health check.
+const MAX_TICK_DELAY: Span = Span(50);
 
-/// Beats at a steady pace, and remembers when one was late.
+/// Records whether this process runs on time and reaches other servers.
 ///
-/// A process that stood still, or that is short of processor time, finds the answers of all servers overdue. It
-/// would take live ones for dead, and run a request on more servers than its route allows. What it believes of
-/// others by their silence counts only if it was on time itself meanwhile.
+/// A process that was suspended or lacks CPU time finds the responses of all servers overdue. It
+/// would take live servers for dead, and run requests on more servers than their routes allow.
+/// Silence of a server therefore counts only if this process was on time.
 ///
-/// A process may be on time and its link full: all answers are late then as well. So silence counts only if some
-/// server, whichever, answered promptly a question that was asked after the silence began.
+/// A process may be on time while its link is saturated, which delays all responses. Silence
+/// therefore counts only if some server promptly answered a check that was sent after the silence
+/// began.
 ///
 /// # Examples
 ///
@@ -26,7 +26,7 @@
 /// local_health.tick(Instant(25));
 /// local_health.tick(Instant(52));
 /// assert!(!local_health.was_delayed(Instant(0), Instant(60)));
-/// assert!(local_health.was_delayed(Instant(0), Instant(500)), "the next beat is overdue");
+/// assert!(local_health.was_delayed(Instant(0), Instant(500)), "the next tick is overdue");
 /// local_health.tick(Instant(500));
 /// assert!(local_health.was_delayed(Instant(400), Instant(510)));
 /// assert!(!local_health.was_delayed(Instant(505), Instant(510)));
@@ -37,52 +37,55 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct LocalHealth {
-    pace: Span,
+    interval: Span,
     last: Instant,
-    /// When a late beat came.
-    late: Option<Instant>,
-    /// When the last question was asked that some server answered promptly.
-    answered: Option<Instant>,
+    /// When the last delayed tick came.
+    last_delayed: Option<Instant>,
+    /// When the last check was sent that a server answered promptly.
+    last_answered: Option<Instant>,
 }
 
 impl LocalHealth {
-    /// Returns a local_health that is to beat at a pace.
+    /// Returns the health of a process that ticks at an interval.
     #[must_use]
-    pub fn new(pace: Span) -> Self {
+    pub fn new(interval: Span) -> Self {
         Self {
-            pace,
+            interval,
             last: Instant::default(),
-            late: None,
-            answered: None,
+            last_delayed: None,
+            last_answered: None,
         }
     }
 
-    /// Takes a beat.
+    /// Records a tick.
     pub fn tick(&mut self, now: Instant) {
         if self.is_overdue(now) {
-            self.late = Some(now);
+            self.last_delayed = Some(now);
         }
         self.last = now;
     }
 
-    /// Tells whether a beat was late since a time, or is overdue now.
+    /// Returns whether a tick was delayed since a time, or is overdue now.
     #[must_use]
     pub fn was_delayed(&self, since: Instant, now: Instant) -> bool {
-        self.is_overdue(now) || self.late.is_some_and(|late| late >= since)
+        self.is_overdue(now)
+            || self
+                .last_delayed
+                .is_some_and(|last_delayed| last_delayed >= since)
     }
 
-    /// Takes that some server promptly answered a question asked at a time.
+    /// Records that some server promptly answered a check sent at `asked`.
     pub fn record_answer(&mut self, asked: Instant) {
-        self.answered = self.answered.max(Some(asked));
+        self.last_answered = self.last_answered.max(Some(asked));
     }
 
-    /// Tells whether some server promptly answered a question that was asked since a time.
+    /// Returns whether some server promptly answered a check sent since a time.
     #[must_use]
     pub fn was_connected(&self, since: Instant) -> bool {
-        self.answered.is_some_and(|asked| asked >= since)
+        self.last_answered.is_some_and(|asked| asked >= since)
     }
 
     fn is_overdue(&self, now: Instant) -> bool {
-        now.since(self.last) > Span(self.pace.0 + LATE.0)
+        now.since(self.last) > Span(self.interval.0 + MAX_TICK_DELAY.0)
     }
 }
