--- a/crates/core/src/pipeline/outlier.rs
+++ b/crates/core/src/pipeline/outlier.rs
@@ -1,4 +1,5 @@
-//! Backend servers that fail more of their requests than others, although they say that they are well.
+//! Detects backend servers that fail outcome requests than others, although they report to be
+//! healthy.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,31 +8,31 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// In what time the weight of an outcome halves: long enough for some requests at each server, short
-/// enough that one which works again is tried again after a few seconds.
+/// The time in which the weight of an outcome halves: long enough for some requests at each server,
+/// short enough to retry a recovered server after a few seconds.
 const HALF_LIFE: Span = Span(3_000);
-/// The least weight of failures at which a server is judged; fewer say nothing.
-const LEAST_FAILURES: f64 = 2.5;
-/// The share of failures from which a server is avoided. Over the users' services some five requests in
-/// a hundred fail wherever they run; servers that fail by themselves fail four in ten.
-const SHARE: f64 = 0.25;
+/// The minimum weight of failures for a server to be avoided.
+const MIN_FAILURES: f64 = 2.5;
+/// The minimum share of failed requests for a server to be avoided. About 5 % of requests fail on
+/// any server, and 40 % on a faulty one.
+const MIN_FAILED_SHARE: f64 = 0.25;
 
-/// How requests at one server ended, with older ones weighing less.
+/// The outcomes of requests at one server, weighted by age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
-    /// The weight of those that ended well.
+    /// The weight of the successes.
     pub succeeded: f64,
-    /// The weight of those that failed.
+    /// The weight of the failures.
     pub failed: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Aging {
+struct DecayingTally {
     tally: Tally,
     at: Instant,
 }
 
-impl Aging {
+impl DecayingTally {
     fn at(&self, now: Instant) -> Tally {
         let age = now.since(self.at).0 as f64 / HALF_LIFE.0 as f64;
         let weight = 0.5_f64.powf(age);
@@ -42,11 +43,11 @@
     }
 }
 
-/// Who fails too often.
+/// The servers that fail too often.
 ///
-/// A server may fail a part of its requests while it answers every question well. One entry sends each
-/// server too few requests to notice soon, so entries tell one another how theirs ended. Such a server
-/// is avoided, not excluded: it is used where there is no other.
+/// A server may fail part of its requests while it passes every health check. One entry sends each
+/// server too few requests to notice soon, so entries share their outcomes. Such a server is
+/// avoided rather than excluded: it is used if there is no other.
 ///
 /// # Examples
 ///
@@ -60,18 +61,18 @@
 /// outliers.evaluate(Instant(0));
 /// assert!(outliers.contains(&"a".into()));
 /// outliers.evaluate(Instant(3_000));
-/// assert!(!outliers.contains(&"a".into()), "it is tried again");
+/// assert!(!outliers.contains(&"a".into()), "retried after a while");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Outliers {
-    own: BTreeMap<Incarnation, Aging>,
-    /// What the other entries met, added up.
+    own: BTreeMap<Incarnation, DecayingTally>,
+    /// The sum of the other entries' outcomes.
     others: BTreeMap<Incarnation, Tally>,
     avoided: BTreeSet<Incarnation>,
 }
 
 impl Outliers {
-    /// Books a request that ended well.
+    /// Records a request that succeeded.
     pub fn served(&mut self, now: Instant, server: &Incarnation) {
         self.add(
             now,
@@ -83,7 +84,7 @@
         );
     }
 
-    /// Books a request that failed.
+    /// Records a request that failed.
     pub fn failed(&mut self, now: Instant, server: &Incarnation) {
         self.add(
             now,
@@ -95,35 +96,39 @@
         );
     }
 
-    fn add(&mut self, now: Instant, server: &Incarnation, more: Tally) {
-        let before = self.own.get(server).map(|aging| aging.at(now));
+    fn add(&mut self, now: Instant, server: &Incarnation, outcome: Tally) {
+        let before = self.own.get(server).map(|decaying| decaying.at(now));
         let before = before.unwrap_or_default();
         let tally = Tally {
-            succeeded: before.succeeded + more.succeeded,
-            failed: before.failed + more.failed,
+            succeeded: before.succeeded + outcome.succeeded,
+            failed: before.failed + outcome.failed,
         };
-        self.own.insert(server.clone(), Aging { tally, at: now });
+        self.own
+            .insert(server.clone(), DecayingTally { tally, at: now });
     }
 
-    /// Takes how the requests of the other entries ended, added up.
+    /// Sets the sum of the other entries' outcomes.
     pub fn set_others(&mut self, tallies: BTreeMap<Incarnation, Tally>) {
         self.others = tallies;
     }
 
-    /// Returns what to tell the others. Servers at which nothing failed are told as well: were they left
-    /// out, the one entry that met a failure would speak for all.
+    /// Returns the outcomes to report to other entries. Includes servers without failures;
+    /// otherwise a single entry with a failure would outweigh all others.
     pub fn own(&self, now: Instant) -> impl Iterator<Item = (&Incarnation, Tally)> {
-        const WORTH_TELLING: f64 = 0.2;
-        let aged = self
+        const MIN_REPORTED_WEIGHT: f64 = 0.2;
+        let decayed = self
             .own
             .iter()
-            .map(move |(name, aging)| (name, aging.at(now)));
-        aged.filter(|(_, tally)| tally.succeeded + tally.failed >= WORTH_TELLING)
+            .map(move |(name, decaying)| (name, decaying.at(now)));
+        decayed.filter(|(_, tally)| tally.succeeded + tally.failed >= MIN_REPORTED_WEIGHT)
     }
 
-    /// Judges all servers by what is known now; returns who is newly avoided.
+    /// Evaluates all servers; returns those that are newly avoided.
     pub fn evaluate(&mut self, now: Instant) -> Vec<Incarnation> {
-        let own = self.own.iter().map(|(name, aging)| (name, aging.at(now)));
+        let own = self
+            .own
+            .iter()
+            .map(|(name, decaying)| (name, decaying.at(now)));
         let mut sums: BTreeMap<&Incarnation, Tally> = own.collect();
         for (server, tally) in &self.others {
             let sum = sums.entry(server).or_default();
@@ -131,17 +136,17 @@
             sum.failed += tally.failed;
         }
         let is_bad = |tally: &Tally| {
-            tally.failed >= LEAST_FAILURES
-                && tally.failed >= SHARE * (tally.succeeded + tally.failed)
+            tally.failed >= MIN_FAILURES
+                && tally.failed >= MIN_FAILED_SHARE * (tally.succeeded + tally.failed)
         };
         let bad = sums.into_iter().filter(|(_, tally)| is_bad(tally));
         let avoided: BTreeSet<Incarnation> = bad.map(|(server, _)| server.clone()).collect();
-        let fresh = avoided.difference(&self.avoided).cloned().collect();
+        let added = avoided.difference(&self.avoided).cloned().collect();
         self.avoided = avoided;
-        fresh
+        added
     }
 
-    /// Tells whether a server is to be avoided.
+    /// Returns whether a server is to be avoided.
     #[must_use]
     pub fn contains(&self, server: &Incarnation) -> bool {
         self.avoided.contains(server)
