--- a/crates/core/src/pipeline/refusals.rs
+++ b/crates/core/src/pipeline/refusals.rs
@@ -1,4 +1,4 @@
-//! Backend servers that refused a request a moment ago.
+//! Tracks backend servers that recently refused a request.
 
 use std::collections::BTreeMap;
 
@@ -6,32 +6,32 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// How long a server that refused a request counts as full at first: one of the users' requests ends
-/// about that often at each server.
-const FULL: Span = Span(200);
-/// How long it counts as full at most. A server that drains refuses for good, and while the store is
-/// away nothing else says so.
-const LONGEST_FULL: Span = Span(3_200);
+/// How long a server counts as full after a first refusal: about the time in which one of its
+/// requests ends.
+const FIRST_DURATION: Span = Span(200);
+/// The longest time for which a server counts as full. A draining server refuses permanently, and
+/// nothing else shows this while the store is unavailable.
+const MAX_DURATION: Span = Span(3_200);
 
-/// From how long a refusal is believed the server counts as leaving: four in a row, over a second and a
-/// half, in which it took nothing. One that is merely full takes a request whenever another ends.
-const LEAVING: Span = Span(1_600);
+/// A server whose last refusal counts for at least this long is leaving: it refused four times in a
+/// row, over 1.5 s. A server that is only full accepts a request whenever another one ends.
+const LEAVING_DURATION: Span = Span(1_600);
 
-/// The same of another entry's word, which tells how much longer it believes a refusal: more than any
-/// shorter one lasts.
-const HEARD_LEAVING: Span = Span(801);
+/// The minimum remaining time in another entry's report for its server to count as leaving; longer
+/// than any shorter refusal counts.
+const REPORTED_LEAVING_DURATION: Span = Span(801);
 
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     until: Instant,
-    lasts: Span,
+    duration: Span,
 }
 
-/// Who refused, and until when that is believed.
+/// The servers that refused, and until when each counts as full.
 ///
-/// A server that is out of memory, drains or gives up layers refuses at once what is sent to it. Each
-/// refusal costs a retry, so an entry that meets one tells the others, which then send nothing there
-/// for as long as it does not itself.
+/// A server that is out of memory, drains or unloads layers refuses requests at once. Each refusal
+/// costs a retry, so entries report refusals to each other, and the receivers send that server
+/// nothing for the same time.
 ///
 /// # Examples
 ///
@@ -45,38 +45,39 @@
 /// assert!(!refusals.contains(Instant(200), &"a".into()));
 /// refusals.receive(Instant(300), "b".into(), Span(150));
 /// assert!(refusals.contains(Instant(400), &"b".into()));
-/// assert_eq!(refusals.own(Instant(400)).count(), 0, "what was heard is not told on");
+/// assert_eq!(refusals.own(Instant(400)).count(), 0, "received reports are not relayed");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Refusals {
     own: BTreeMap<Incarnation, Refusal>,
-    heard: BTreeMap<Incarnation, Instant>,
+    reported: BTreeMap<Incarnation, Instant>,
 }
 
 impl Refusals {
-    /// Books that a server refused a request; each refusal soon after the last one counts twice as
-    /// long. Returns whether that is news.
+    /// Records that a server refused a request; each refusal soon after the previous one counts
+    /// twice as long. Returns `false` if the server already counts as full.
     pub fn refused(&mut self, now: Instant, server: &Incarnation) -> bool {
         self.own
-            .retain(|_, refusal| refusal.until.plus(LONGEST_FULL) > now);
-        let lasts = match self.own.get(server) {
+            .retain(|_, refusal| refusal.until.plus(MAX_DURATION) > now);
+        let duration = match self.own.get(server) {
             Some(refusal) if refusal.until > now => return false,
-            Some(refusal) => Span((refusal.lasts.0 * 2).min(LONGEST_FULL.0)),
-            None => FULL,
+            Some(refusal) => Span((refusal.duration.0 * 2).min(MAX_DURATION.0)),
+            None => FIRST_DURATION,
         };
-        let until = now.plus(lasts);
-        self.own.insert(server.clone(), Refusal { until, lasts });
+        let until = now.plus(duration);
+        self.own.insert(server.clone(), Refusal { until, duration });
         true
     }
 
-    /// Takes another entry's word that a server refused, and for how much longer it believes that.
-    pub fn receive(&mut self, now: Instant, server: Incarnation, lasts: Span) {
-        self.heard.retain(|_, until| *until > now);
-        let until = now.plus(lasts.min(LONGEST_FULL));
-        self.heard.insert(server, until);
+    /// Applies another entry's report that a server refused; `duration` is the time for which it
+    /// still counts there.
+    pub fn receive(&mut self, now: Instant, server: Incarnation, duration: Span) {
+        self.reported.retain(|_, until| *until > now);
+        let until = now.plus(duration.min(MAX_DURATION));
+        self.reported.insert(server, until);
     }
 
-    /// Returns what to tell the others.
+    /// Returns the refusals to report to other entries.
     pub fn own(&self, now: Instant) -> impl Iterator<Item = (&Incarnation, Span)> {
         let left = self
             .own
@@ -85,31 +86,33 @@
         left.filter(|(_, left)| left.0 > 0)
     }
 
-    /// Books that a server took a request.
+    /// Records that a server accepted a request.
     pub fn took(&mut self, server: &Incarnation) {
         self.own.remove(server);
-        self.heard.remove(server);
+        self.reported.remove(server);
     }
 
-    /// Tells whether a server has refused everything for so long that it must be leaving.
+    /// Returns whether a server has refused everything for so long that it is assumed to be
+    /// leaving.
     ///
-    /// While the store is away nothing else tells that a server leaves. It refuses what is new, and later
-    /// it is gone with its layers; by then another server should hold them. A refusal that nobody has met
-    /// again for some seconds says nothing of now.
+    /// While the store is unavailable, nothing else shows that a server is leaving, and another
+    /// server should load its layers before it exits. A refusal that was not repeated for some
+    /// seconds no longer counts.
     #[must_use]
     pub fn is_leaving(&self, now: Instant, server: &Incarnation) -> bool {
-        let lasts_still =
-            |refusal: &&Refusal| refusal.lasts >= LEAVING && refusal.until.plus(LONGEST_FULL) > now;
-        let own = self.own.get(server).filter(lasts_still);
-        let heard = self.heard.get(server);
-        own.is_some() || heard.is_some_and(|until| until.since(now) >= HEARD_LEAVING)
+        let is_lasting = |refusal: &&Refusal| {
+            refusal.duration >= LEAVING_DURATION && refusal.until.plus(MAX_DURATION) > now
+        };
+        let own = self.own.get(server).filter(is_lasting);
+        let reported = self.reported.get(server);
+        own.is_some() || reported.is_some_and(|until| until.since(now) >= REPORTED_LEAVING_DURATION)
     }
 
-    /// Tells whether a server refused a request a moment ago.
+    /// Returns whether a server recently refused a request.
     #[must_use]
     pub fn contains(&self, now: Instant, server: &Incarnation) -> bool {
         let own = self.own.get(server).map(|refusal| refusal.until);
-        let until = own.max(self.heard.get(server).copied());
+        let until = own.max(self.reported.get(server).copied());
         until.is_some_and(|until| until > now)
     }
 }
