--- a/crates/core/src/pipeline/reports.rs
+++ b/crates/core/src/pipeline/reports.rs
@@ -1,4 +1,4 @@
-//! What an entry was told by others, and what it tells on.
+//! The reports that an entry receives from others, and the sums that it relays.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,23 +8,23 @@
 use crate::pipeline::summary::Summary;
 use crate::time::Instant;
 
-/// Of whom a word is.
+/// The entries that a report covers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Scope {
-    /// The teller alone.
+    /// Only the sender.
     Own,
-    /// All entries of a cell, the teller's.
+    /// All entries of the sender's cell.
     Cell(Id),
-    /// All entries of all other cells than the teller's.
+    /// All entries outside the sender's cell.
     Rest,
 }
 
-/// Which fragment of a word a message is; a word that does not fit into one message is told in several.
+/// Identifies a fragment of a report that does not fit into one message.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Fragment {
-    /// Its number, from 0.
+    /// The index of the fragment, from 0.
     pub number: u16,
-    /// How many more there are after the first.
+    /// The index of the last fragment.
     pub last: u16,
 }
 
@@ -34,7 +34,8 @@
     summary: Summary,
 }
 
-/// The fragments of one teller's word. One that is lost leaves the one before in place.
+/// The latest fragments of one sender's report. If a fragment is lost, the previous one stays in
+/// place.
 #[derive(Clone, Debug, Default)]
 struct Fragments(BTreeMap<u16, Report>);
 
@@ -45,30 +46,31 @@
     }
 
     fn expire(&mut self, now: Instant) -> bool {
-        self.0.retain(|_, word| now.since(word.at) <= REPORT_TTL);
+        self.0
+            .retain(|_, report| now.since(report.at) <= REPORT_TTL);
         !self.0.is_empty()
     }
 
     fn entries(&self) -> u64 {
-        self.0.values().map(|word| word.summary.entries).sum()
+        self.0.values().map(|report| report.summary.entries).sum()
     }
 
     fn newest(&self) -> Option<Instant> {
-        self.0.values().map(|word| word.at).max()
+        self.0.values().map(|report| report.at).max()
     }
 
     fn add_to(&self, sum: &mut Summary, now: Instant) {
-        for word in self.0.values() {
-            sum.merge_aged(&word.summary, now.since(word.at));
+        for report in self.0.values() {
+            sum.merge_aged(&report.summary, now.since(report.at));
         }
     }
 }
 
-/// What others said lately.
+/// The latest reports of other entries.
 ///
-/// Each teller's last word stands for [`REPORT_TTL`], so that a lost message costs freshness and not the knowledge,
-/// and one that is gone leaves the sums: at those it told within that time, and at those who were told on as soon
-/// as they are told again.
+/// A sender's report is kept for [`REPORT_TTL`], so that a lost message only makes the data older.
+/// An entry that has exited leaves the sums when its report expires, and the relayed sums with the
+/// next relay.
 ///
 /// # Examples
 ///
@@ -80,9 +82,10 @@
 /// # use jujube_core::pipeline::summary::Summary;
 /// # use jujube_core::time::Instant;
 /// let mut reports = Reports::default();
-/// let word = Summary { entries: 1, ..Summary::default() };
-/// reports.receive(Instant(0), "a", Scope::Own, Fragment::default(), word.clone());
-/// reports.receive(Instant(0), "b", Scope::Rest, Fragment::default(), Summary { entries: 5, ..word });
+/// let report = Summary { entries: 1, ..Summary::default() };
+/// reports.receive(Instant(0), "a", Scope::Own, Fragment::default(), report.clone());
+/// let rest = Summary { entries: 5, ..report };
+/// reports.receive(Instant(0), "b", Scope::Rest, Fragment::default(), rest);
 /// assert_eq!(reports.others(Instant(10)).entries, 6);
 /// let later = Instant(REPORT_TTL.0 + 1);
 /// reports.expire(later);
@@ -90,89 +93,90 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    /// Fragments of the own cell, by entry.
-    near: BTreeMap<Arc<str>, Fragments>,
-    /// Sums of other cells; an entry hears them if it speaks for its own.
+    /// Reports from the own cell, by sender.
+    own_cell: BTreeMap<Arc<str>, Fragments>,
+    /// Sums of other cells, by sender; received only by speakers.
     cells: BTreeMap<Id, BTreeMap<Arc<str>, Fragments>>,
-    /// The sum of all other cells, as the speakers of the own one tell it.
+    /// The sum of all other cells, as each speaker of the own cell reports it.
     rest: BTreeMap<Arc<str>, Fragments>,
 }
 
 impl Reports {
-    /// Takes a fragment of another entry's word.
+    /// Applies a fragment of another entry's report.
     pub fn receive(
         &mut self,
         now: Instant,
-        teller: impl Into<Arc<str>>,
+        sender: impl Into<Arc<str>>,
         scope: Scope,
         fragment: Fragment,
         summary: Summary,
     ) {
-        let tellers = match scope {
-            Scope::Own => &mut self.near,
+        let senders = match scope {
+            Scope::Own => &mut self.own_cell,
             Scope::Cell(id) => self.cells.entry(id).or_default(),
             Scope::Rest => &mut self.rest,
         };
-        let words = tellers.entry(teller.into()).or_default();
-        words.receive(now, fragment, summary);
+        let fragments = senders.entry(sender.into()).or_default();
+        fragments.receive(now, fragment, summary);
     }
 
-    /// Forgets what has stood for its time.
+    /// Drops expired reports.
     pub fn expire(&mut self, now: Instant) {
-        self.near.retain(|_, words| words.expire(now));
-        self.rest.retain(|_, words| words.expire(now));
-        self.cells.retain(|_, tellers| {
-            tellers.retain(|_, words| words.expire(now));
-            !tellers.is_empty()
+        self.own_cell.retain(|_, fragments| fragments.expire(now));
+        self.rest.retain(|_, fragments| fragments.expire(now));
+        self.cells.retain(|_, senders| {
+            senders.retain(|_, fragments| fragments.expire(now));
+            !senders.is_empty()
         });
     }
 
-    /// Returns the sum of all other entries, as far as they are known.
+    /// Returns the sum of all other entries, as far as known.
     #[must_use]
     pub fn others(&self, now: Instant) -> Summary {
         let mut sum = self.rest(now);
-        let mut told = Summary::default();
-        add_best(&self.rest, &mut told, now);
-        // One that speaks for its cell hears all others itself; one that does not may have been told of a few.
-        if told.entries > sum.entries {
-            sum = told;
+        let mut relayed = Summary::default();
+        add_best(&self.rest, &mut relayed, now);
+        // A speaker receives all other cells directly; other entries may have received only some of
+        // them.
+        if relayed.entries > sum.entries {
+            sum = relayed;
         }
-        self.add_near(&mut sum, now);
+        self.add_own_cell(&mut sum, now);
         sum
     }
 
-    /// Returns the sum of the own cell, with what this entry itself has to tell.
+    /// Returns the sum of the own cell, including this entry's `own` report.
     #[must_use]
     pub fn cell(&self, now: Instant, own: &Summary) -> Summary {
         let mut sum = own.clone();
-        self.add_near(&mut sum, now);
+        self.add_own_cell(&mut sum, now);
         sum
     }
 
-    /// Returns the sum of the other cells, as they told it to this entry itself.
+    /// Returns the sum of the other cells that reported to this entry directly.
     #[must_use]
     pub fn rest(&self, now: Instant) -> Summary {
         let mut sum = Summary::default();
-        for tellers in self.cells.values() {
-            add_best(tellers, &mut sum, now);
+        for senders in self.cells.values() {
+            add_best(senders, &mut sum, now);
         }
         sum
     }
 
-    fn add_near(&self, sum: &mut Summary, now: Instant) {
-        for words in self.near.values() {
-            words.add_to(sum, now);
+    fn add_own_cell(&self, sum: &mut Summary, now: Instant) {
+        for fragments in self.own_cell.values() {
+            fragments.add_to(sum, now);
         }
     }
 }
 
-/// Adds the word of one of several tellers of the same thing: the one that knows the most entries, and of those the
-/// one that was heard last. Two that speak for a cell receive the others each for itself, and one may miss some.
-fn add_best(tellers: &BTreeMap<Arc<str>, Fragments>, sum: &mut Summary, now: Instant) {
-    let best = tellers
+/// Adds the report of the sender that covers the most entries, and among equals the newest one. The
+/// speakers of a cell receive other reports independently, and each may miss some.
+fn add_best(senders: &BTreeMap<Arc<str>, Fragments>, sum: &mut Summary, now: Instant) {
+    let best = senders
         .values()
-        .max_by_key(|words| (words.entries(), words.newest()));
-    if let Some(words) = best {
-        words.add_to(sum, now);
+        .max_by_key(|fragments| (fragments.entries(), fragments.newest()));
+    if let Some(fragments) = best {
+        fragments.add_to(sum, now);
     }
 }
