--- a/crates/core/src/pipeline/cell.rs
+++ b/crates/core/src/pipeline/cell.rs
@@ -1,4 +1,5 @@
-//! How entries are grouped, so that what each tells and hears does not grow with their number.
+//! Groups entries into cells, so that the messages of each entry do not grow with the number of
+//! entries.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,28 +13,30 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// The most entries of a cell; all entries of a cell tell all others of it.
+/// The maximum number of entries in a cell, all of which report to each other.
 ///
-/// Each then sends and gets at most two hundred messages a second, at some 15 microseconds of processor time each.
-/// Smaller cells cost less, and make what is known three times as old in fleets that could have been one.
+/// Each entry then sends and receives at most 200 messages a second, at about 15 µs of CPU time
+/// each. Smaller cells cost less, but add a relay, which triples the age of reports, in more
+/// deployments.
 pub const MAX_ENTRIES: usize = 32;
-/// How often an entry tells the others of its cell what it knows itself. In that time one of four entries starts
-/// three streams, which is a few parts in a hundred of a server's room.
+/// How often an entry reports its own state to its cell. One of four entries starts three streams
+/// in this time, a few percent of a server's capacity.
 pub const REPORT_INTERVAL: Span = Span(150);
-/// How often a speaker tells the other cells the sum of its own.
+/// How often a speaker sends the sum of its cell to other cells.
 pub const RELAY_INTERVAL: Span = Span(150);
-/// The oldest that a word is when it is used, if none is lost: told inside a cell, on to another, and on inside it.
+/// The maximum age of a report when used, if no message is lost: it crosses its own cell, a relay,
+/// and another cell.
 pub const MAX_REPORT_AGE: Span = Span(REPORT_INTERVAL.0 + RELAY_INTERVAL.0 + REPORT_INTERVAL.0);
-/// How long a word stands at whoever heard it: eight of the slowest period, so that several in a row may be lost or
-/// late before what an entry has in flight is forgotten.
+/// How long a received report is kept. Eight periods, so that several messages in a row may be lost
+/// or late.
 pub const REPORT_TTL: Span = Span(8 * RELAY_INTERVAL.0);
-/// How many entries of a cell speak for it; one may die without a gap.
+/// The number of speakers of a cell; two, so that the death of one does not interrupt relaying.
 const SPEAKERS: usize = 2;
-/// How long an entry whose announcement has ended is still told, after it was last heard: announcements also end
-/// when the store is away.
-const HEARD: Span = Span(5_000);
+/// How long an entry that is no longer announced still receives reports after its last message.
+/// Announcements also expire during an outage of the store.
+const UNANNOUNCED_TTL: Span = Span(5_000);
 
-/// The name of a cell; entries that know the same others name their cells alike.
+/// The name of a cell, the same at all entries that know the same members.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Id(pub Arc<str>);
 
@@ -53,39 +56,41 @@
     }
 }
 
-/// Where an entry is.
+/// The location of an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Location {
     /// Its availability zone.
     pub zone: Zone,
-    /// Where it hears the others.
+    /// The address at which it receives reports.
     pub address: SocketAddr,
 }
 
 #[derive(Clone, Debug)]
 struct Member {
-    place: Location,
+    location: Location,
     is_announced: bool,
-    heard: Option<Instant>,
+    last_message: Option<Instant>,
 }
 
 impl Member {
-    fn is_heard(&self, now: Instant) -> bool {
-        self.heard
-            .is_some_and(|heard| now.since(heard) <= REPORT_TTL)
+    fn is_active(&self, now: Instant) -> bool {
+        self.last_message
+            .is_some_and(|at| now.since(at) <= REPORT_TTL)
     }
 }
 
-/// All entries that are known, in cells.
+/// All known entries, grouped into cells.
 ///
-/// Up to [`MAX_ENTRIES`] entries are one cell. More are cut into cells by availability zone, and large zones into equal
-/// parts. Inside a cell all tell all; two entries of each, its speakers, tell the other cells' speakers the sum
-/// of theirs, and tell their own cell the sum of all others. So what an entry knows of all is at most [`MAX_REPORT_AGE`] old
-/// whatever their number, and no entry sends more than a cell's worth of messages and one for each other cell.
+/// Up to [`MAX_ENTRIES`] entries form one cell. More are divided by availability zone, and large
+/// zones into equal parts. All entries of a cell report to each other. Two entries of each cell,
+/// its speakers, send its sum to the speakers of the other cells, and send the sum of all other
+/// cells to their own. Reports are therefore at most [`MAX_REPORT_AGE`] old for any number of
+/// entries, and the messages of an entry grow only with the size of its cell and the number of
+/// cells.
 ///
-/// Entries may know different others for a while, and cut the cells differently. Whoever is told something takes
-/// it: an entry is in the sum of the cell that it believes to be in, and only those between two views count it
-/// twice meanwhile.
+/// Entries may temporarily know different members, and divide the cells differently. Each accepts
+/// whatever it receives: an entry is part of the sum of the cell that it assumes to be in, and is
+/// counted twice only by entries between two views.
 ///
 /// # Examples
 ///
@@ -93,12 +98,12 @@
 /// # use jujube_core::pipeline::cell::Directory;
 /// # use jujube_core::pipeline::cell::Location;
 /// # use jujube_core::time::Instant;
-/// let place = |host| Location { zone: "z".into(), address: ([10, 0, 0, host], 7340).into() };
-/// let mut directory = Directory::new("a", place(1));
-/// directory.announced("b", place(2));
+/// let location = |host| Location { zone: "z".into(), address: ([10, 0, 0, host], 7340).into() };
+/// let mut directory = Directory::new("a", location(1));
+/// directory.announced("b", location(2));
 /// assert_eq!(directory.count(), 2);
-/// assert_eq!(directory.neighbours(), vec![place(2).address]);
-/// assert!(directory.targets(Instant(0)).is_empty(), "there is one cell only");
+/// assert_eq!(directory.neighbours(), vec![location(2).address]);
+/// assert!(directory.targets(Instant(0)).is_empty(), "there is only one cell");
 /// ```
 #[derive(Clone, Debug)]
 pub struct Directory {
@@ -106,19 +111,19 @@
     members: BTreeMap<Arc<str>, Member>,
     cells: BTreeMap<Id, Vec<Arc<str>>>,
     home: Id,
-    /// How often the other cells were told.
+    /// The number of relays to the other cells.
     round: usize,
 }
 
 impl Directory {
-    /// Returns the directory of an entry that knows no other.
+    /// Returns a directory that contains only this entry.
     #[must_use]
-    pub fn new(own: impl Into<Arc<str>>, place: Location) -> Self {
+    pub fn new(own: impl Into<Arc<str>>, location: Location) -> Self {
         let own = own.into();
         let member = Member {
-            place,
+            location,
             is_announced: true,
-            heard: None,
+            last_message: None,
         };
         let mut directory = Self {
             members: [(own.clone(), member)].into(),
@@ -131,18 +136,18 @@
         directory
     }
 
-    /// Takes an entry's announcement.
-    pub fn announced(&mut self, name: impl Into<Arc<str>>, place: Location) {
+    /// Adds an entry that was announced.
+    pub fn announced(&mut self, name: impl Into<Arc<str>>, location: Location) {
         let name = name.into();
         if name == self.own {
             return;
         }
         let known = self.members.get(&name);
-        let is_known = known.is_some_and(|known| known.place == place);
+        let is_known = known.is_some_and(|known| known.location == location);
         let member = Member {
-            place,
+            location,
             is_announced: true,
-            heard: known.and_then(|known| known.heard),
+            last_message: known.and_then(|known| known.last_message),
         };
         self.members.insert(name, member);
         if !is_known {
@@ -150,61 +155,61 @@
         }
     }
 
-    /// Takes that an entry's announcement has ended; it is known for as long as it is heard.
+    /// Records that an entry is no longer announced; it stays known while it sends messages.
     pub fn removed(&mut self, name: &str) {
         if let Some(member) = self.members.get_mut(name).filter(|_| *name != *self.own) {
             member.is_announced = false;
         }
     }
 
-    /// Takes all entries that are announced.
+    /// Replaces the set of announced entries.
     pub fn replaced(&mut self, announced: impl IntoIterator<Item = (Arc<str>, Location)>) {
         let own = self.own.clone();
         let others = self.members.iter_mut().filter(|(name, _)| **name != own);
         others.for_each(|(_, member)| member.is_announced = false);
-        for (name, place) in announced {
-            self.announced(name, place);
+        for (name, location) in announced {
+            self.announced(name, location);
         }
     }
 
-    /// Takes that an entry was heard.
-    pub fn heard(&mut self, now: Instant, name: &Arc<str>, place: Location) {
+    /// Records a message from an entry.
+    pub fn heard(&mut self, now: Instant, name: &Arc<str>, location: Location) {
         if *name == self.own {
             return;
         }
         let known = self.members.get_mut(name);
-        if let Some(known) = known.filter(|known| known.place == place) {
-            known.heard = Some(now);
+        if let Some(known) = known.filter(|known| known.location == location) {
+            known.last_message = Some(now);
             return;
         }
         let member = Member {
-            place,
+            location,
             is_announced: false,
-            heard: Some(now),
+            last_message: Some(now),
         };
         self.members.insert(name.clone(), member);
         self.regroup();
     }
 
-    /// Forgets entries that are neither announced nor heard any more.
+    /// Removes entries that are neither announced nor sending messages.
     pub fn expire(&mut self, now: Instant) {
         let before = self.members.len();
         self.members.retain(|_, member| {
-            let heard = member.heard;
-            member.is_announced || heard.is_some_and(|heard| now.since(heard) <= HEARD)
+            let last_message = member.last_message;
+            member.is_announced || last_message.is_some_and(|at| now.since(at) <= UNANNOUNCED_TTL)
         });
         if self.members.len() < before {
             self.regroup();
         }
     }
 
-    /// Returns how many entries are known, this one included.
+    /// Returns the number of known entries, including this one.
     #[must_use]
     pub fn count(&self) -> usize {
         self.members.len()
     }
 
-    /// Returns how many known entries' names come before this one's, which is the same for all who know them.
+    /// Returns the number of known entries whose names precede this one's.
     #[must_use]
     pub fn rank(&self) -> usize {
         self.members.range(..self.own.clone()).count()
@@ -216,59 +221,64 @@
         &self.home
     }
 
-    /// Returns how many cells there are.
+    /// Returns the number of cells.
     #[must_use]
     pub fn cells(&self) -> usize {
         self.cells.len()
     }
 
-    /// Returns where the other entries of this entry's cell hear.
+    /// Returns the addresses of the other entries of this entry's cell.
     #[must_use]
     pub fn neighbours(&self) -> Vec<SocketAddr> {
         let others = self.names(&self.home).filter(|name| **name != self.own);
         others.filter_map(|name| self.address(name)).collect()
     }
 
-    /// Tells whether this entry speaks for its cell.
+    /// Returns whether this entry is a speaker of its cell.
     ///
-    /// Of those that are heard, two by an order that all members find alike. Those that disagree on who is heard
-    /// make a third one speak or leave one out for a while, which costs a few messages.
+    /// The speakers are the first two active entries in an order that all members compute alike.
+    /// Members that disagree on who is active temporarily have one speaker more or fewer, which
+    /// costs only a few messages.
     #[must_use]
     pub fn is_speaker(&self, now: Instant) -> bool {
-        let heard = self
+        let active = self
             .names(&self.home)
-            .filter(|name| self.is_here(now, name));
-        let mut ranked: Vec<&Arc<str>> = heard.collect();
+            .filter(|name| self.is_active(now, name));
+        let mut ranked: Vec<&Arc<str>> = active.collect();
         ranked.sort_by_key(|name| score(&self.home, name));
         ranked.iter().take(SPEAKERS).any(|name| **name == self.own)
     }
 
-    /// Returns where to tell the other cells the sum of this one.
+    /// Returns the addresses of other cells to which the sum of this one is to be sent.
     ///
-    /// Those are the members that are heard and come first, which speak for their cells. Members that come before
-    /// them and are not heard may speak all the same, not having been told yet; one more of these is told in each
-    /// round. Where nobody is heard, the members are tried in their order.
+    /// These are the first active members of each cell, which are its speakers. Members that
+    /// precede them and seem inactive may be speakers as well, if they have not received anything
+    /// yet; each round includes one of them. In a cell without active members, the members are
+    /// tried in turn.
     pub fn targets(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.round = self.round.wrapping_add(1);
         let others = self.cells.iter().filter(|(id, _)| **id != self.home);
-        let names = others.flat_map(|(id, names)| self.told_of(now, id, names));
+        let names = others.flat_map(|(id, names)| self.recipients(now, id, names));
         names.filter_map(|name| self.address(name)).collect()
     }
 
-    fn told_of<'a>(&self, now: Instant, id: &Id, names: &'a [Arc<str>]) -> Vec<&'a Arc<str>> {
+    fn recipients<'a>(&self, now: Instant, id: &Id, names: &'a [Arc<str>]) -> Vec<&'a Arc<str>> {
         let mut ranked: Vec<&Arc<str>> = names.iter().collect();
         ranked.sort_by_key(|name| score(id, name));
-        let heard = ranked.iter().copied();
-        let heard = heard.filter(|name| self.is_here(now, name));
-        let mut told: Vec<&Arc<str>> = heard.take(SPEAKERS).collect();
-        let last = told.last().copied();
+        let active = ranked.iter().copied();
+        let active = active.filter(|name| self.is_active(now, name));
+        let mut recipients: Vec<&Arc<str>> = active.take(SPEAKERS).collect();
+        let last = recipients.last().copied();
         let before = ranked.iter().copied();
         let before = before.take_while(|name| Some(*name) != last);
-        let silent: Vec<&Arc<str>> = before.filter(|name| !told.contains(name)).collect();
-        let tried = SPEAKERS.saturating_sub(told.len()).max(1).min(silent.len());
+        let silent: Vec<&Arc<str>> = before.filter(|name| !recipients.contains(name)).collect();
+        let tried = SPEAKERS
+            .saturating_sub(recipients.len())
+            .max(1)
+            .min(silent.len());
         let turns = (0..tried).map(|turn| silent[(self.round * tried + turn) % silent.len()]);
-        told.extend(turns);
-        told
+        recipients.extend(turns);
+        recipients
     }
 
     fn names(&self, id: &Id) -> impl Iterator<Item = &Arc<str>> {
@@ -276,12 +286,12 @@
     }
 
     fn address(&self, name: &Arc<str>) -> Option<SocketAddr> {
-        self.members.get(name).map(|member| member.place.address)
+        self.members.get(name).map(|member| member.location.address)
     }
 
-    fn is_here(&self, now: Instant, name: &Arc<str>) -> bool {
+    fn is_active(&self, now: Instant, name: &Arc<str>) -> bool {
         let member = self.members.get(name);
-        *name == self.own || member.is_some_and(|member| member.is_heard(now))
+        *name == self.own || member.is_some_and(|member| member.is_active(now))
     }
 
     fn regroup(&mut self) {
@@ -301,15 +311,15 @@
     let mut zones: BTreeMap<&Zone, Vec<Arc<str>>> = BTreeMap::new();
     for (name, member) in members {
         zones
-            .entry(&member.place.zone)
+            .entry(&member.location.zone)
             .or_default()
             .push(name.clone());
     }
     let mut cells = BTreeMap::new();
     for (zone, names) in zones {
         let parts = names.len().div_ceil(MAX_ENTRIES);
-        let most = names.len().div_ceil(parts);
-        for (number, names) in names.chunks(most).enumerate() {
+        let size = names.len().div_ceil(parts);
+        for (number, names) in names.chunks(size).enumerate() {
             cells.insert(Id::part(zone, number), names.to_vec());
         }
     }
