--- a/crates/core/src/pipeline/relay.rs
+++ b/crates/core/src/pipeline/relay.rs
@@ -1,24 +1,24 @@
-//! The relay of a stream of events from backend servers to a caller.
+//! Relays a stream of events from backend servers to a caller.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// The most bytes of one event; the largest of the users' are a few hundred.
-const MOST_EVENT: usize = 256 << 10;
+/// The maximum size of one event in bytes.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// Why a stream cannot be relayed further from this backend server.
+/// Why the current run of a stream cannot be relayed further.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Fault {
-    /// An event is missing between the last one passed on and this one.
+    /// The identifier skips at least one event.
     #[error("an event is missing")]
     MissingEvent,
-    /// An event repeats or goes back, within one run.
+    /// An identifier repeats or decreases within one run.
     #[error("events are out of order")]
     OutOfOrder,
     /// An event has no readable identifier.
     #[error("an event without an identifier")]
     NoIdentifier,
-    /// An event is larger than any can be.
+    /// An event exceeds the maximum size.
     #[error("an event without an end")]
     TooLarge,
     /// The stream ended inside an event.
@@ -26,11 +26,10 @@
     Truncated,
 }
 
-/// Passes on whole events only, each once and in order.
+/// Passes on each event once, complete and in order.
 ///
-/// A backend server may break off inside an event, and the one that carries on may start with an
-/// event that the caller has. Passed on as they come, the caller would read a torn event joined
-/// with a whole one, or the same one twice.
+/// A backend server may break off inside an event, and the next one may start with an event that
+/// the caller already has. Prevents the caller from receiving truncated or duplicate events.
 ///
 /// # Examples
 ///
@@ -49,17 +48,17 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Relay {
-    /// The start of an event whose end has not come.
-    held: BytesMut,
+    /// The received part of an incomplete event.
+    partial: BytesMut,
     /// The identifier of the last event passed on.
     last: Option<u64>,
-    /// Whether this run has brought an event yet.
+    /// Whether this run has delivered an event.
     started: bool,
     events: u64,
 }
 
 impl Relay {
-    /// Returns the relay of a stream that the caller has up to an event.
+    /// Returns the relay of a stream that the caller has received up to the event `last`.
     #[must_use]
     pub fn after(last: Option<u64>) -> Self {
         Self {
@@ -74,68 +73,68 @@
         self.last
     }
 
-    /// Returns how many events were passed on.
+    /// Returns the number of events passed on.
     #[must_use]
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Starts over with another run, which begins after the last event passed on.
+    /// Starts another run, which continues after the last event passed on.
     pub fn restart(&mut self) {
-        self.held.clear();
+        self.partial.clear();
         self.started = false;
     }
 
-    /// Takes bytes of the current run, and adds what the caller gets now to `out`.
+    /// Processes bytes of the current run, and appends the events to pass on to `out`.
     ///
     /// # Errors
     ///
-    /// The run cannot be relayed further; `out` holds what came before.
+    /// Returns why the run cannot be relayed further; `out` contains the events before the fault.
     pub fn feed(&mut self, chunk: Bytes, out: &mut Vec<Bytes>) -> Result<(), Fault> {
-        let mut rest = if self.held.is_empty() {
+        let mut rest = if self.partial.is_empty() {
             chunk
         } else {
-            self.held.extend_from_slice(&chunk);
-            self.held.split().freeze()
+            self.partial.extend_from_slice(&chunk);
+            self.partial.split().freeze()
         };
-        // Events that follow one another are passed on as one piece of the chunk, not copied.
-        let mut whole = 0;
+        // Consecutive events are passed on as one slice of the chunk, without a copy.
+        let mut complete = 0;
         let outcome = loop {
-            let Some(length) = event_length(&rest[whole..]) else {
+            let Some(length) = event_length(&rest[complete..]) else {
                 break Ok(());
             };
-            match self.admit(&rest[whole..whole + length]) {
-                Ok(true) => whole += length,
+            match self.admit(&rest[complete..complete + length]) {
+                Ok(true) => complete += length,
                 Ok(false) => {
-                    push(out, rest.split_to(whole));
+                    push(out, rest.split_to(complete));
                     let _known = rest.split_to(length);
-                    whole = 0;
+                    complete = 0;
                 }
                 Err(fault) => break Err(fault),
             }
         };
-        push(out, rest.split_to(whole));
+        push(out, rest.split_to(complete));
         outcome?;
-        if rest.len() > MOST_EVENT {
+        if rest.len() > MAX_EVENT_BYTES {
             return Err(Fault::TooLarge);
         }
-        self.held.extend_from_slice(&rest);
+        self.partial.extend_from_slice(&rest);
         Ok(())
     }
 
-    /// Takes the end of the current run.
+    /// Checks the end of the current run.
     ///
     /// # Errors
     ///
-    /// It ended inside an event.
+    /// Returns a fault if the run ended inside an event.
     pub fn end(&self) -> Result<(), Fault> {
-        if self.held.is_empty() {
+        if self.partial.is_empty() {
             return Ok(());
         }
         Err(Fault::Truncated)
     }
 
-    /// Tells whether an event is passed on; `false` for one that the caller has.
+    /// Returns whether an event is passed on; `false` if the caller already has it.
     fn admit(&mut self, event: &[u8]) -> Result<bool, Fault> {
         let id = identifier(event).ok_or(Fault::NoIdentifier)?;
         if let Some(last) = self.last {
@@ -162,7 +161,7 @@
     }
 }
 
-/// Returns the length of the first whole event, its empty line included.
+/// Returns the length of the first complete event, including its empty line.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_is_empty = true;
     for (index, byte) in bytes.iter().enumerate() {
