--- a/crates/core/src/pipeline/document.rs
+++ b/crates/core/src/pipeline/document.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration on a platform that keeps it as one document.
+//! The operators' configuration, on platforms that store it as one document.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,61 +11,62 @@
 use crate::time::Span;
 
 numbers! {
-    /// The version of a document; it only grows.
+    /// The version of a document, which only increases.
     Version;
 }
 
-/// What may be repeated of a route's requests.
+/// How a route's requests may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// May run once at most.
+    /// Requests may run at most once.
     NonIdempotent,
-    /// Answered by events; may be continued elsewhere only where the route says so.
+    /// Responses are streams of events, which may continue on another server if the route is
+    /// resumable.
     Stream,
 }
 
-/// One target of a route and its weight.
+/// A target of a route.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
     /// The service.
     pub service: Service,
-    /// Its share against the other targets' weights.
+    /// Its weight relative to the other targets.
     pub weight: u64,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: Arc<str>,
-    /// The host that callers name.
+    /// The host name in requests.
     pub host: Arc<str>,
-    /// The start of the path; begins and ends with a slash.
+    /// The path prefix, which starts and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// How requests may be retried.
     pub kind: Kind,
-    /// The longest that a caller is kept waiting.
+    /// The maximum time to respond to a caller.
     pub timeout: Span,
-    /// The time within which an answer, or its first event, is on time.
+    /// The latency objective for the response, or for the first event of a stream.
     pub latency_target: Span,
-    /// The longest pause between events of an answer that is on time.
+    /// The latency objective for the time between events.
     pub gap_target: Span,
-    /// Rank against other routes; 0 goes first.
+    /// The priority relative to other routes; 0 is the highest.
     pub priority: u64,
-    /// Where requests go.
+    /// The targets among which requests are distributed.
     pub targets: Vec<Target>,
-    /// The most backend servers that one request may run on.
+    /// The maximum number of backend servers on which one request may run.
     pub attempts: u64,
     /// Whether callers need no key.
     pub public: bool,
-    /// Whether a stream may be continued at another backend server.
+    /// Whether a stream may continue on another backend server.
     pub resumable: bool,
 }
 
 impl Route {
-    /// Tells whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     #[must_use]
     pub fn may_repeat(&self) -> bool {
         match self.kind {
@@ -93,23 +94,23 @@
     }
 }
 
-/// What a service needs from the router.
+/// The configuration of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backend {
-    /// The most connections that one backend server accepts from all callers.
+    /// The maximum number of connections that a backend server accepts from all callers.
     pub connections: u64,
-    /// The model, where the service runs one spread by layers.
+    /// The model, if the service runs one that is split by layers.
     pub model: Option<Arc<Model>>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on requests and connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// The most bytes of a head.
+    /// The maximum size of a request head in bytes.
     pub header_bytes: u64,
-    /// The most bytes of a body.
+    /// The maximum size of a request body in bytes.
     pub body_bytes: u64,
-    /// How long a connection may idle.
+    /// The idle timeout of a connection.
     pub idle: Span,
 }
 
@@ -123,18 +124,18 @@
     }
 }
 
-/// A customer with its keys.
+/// A customer and its keys.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Account {
     /// The customer.
     pub customer: Customer,
     /// Its keys.
     pub keys: Vec<Arc<str>>,
-    /// Its rank, where it goes before the route's.
+    /// Its priority, which overrides that of the route.
     pub priority: Option<u64>,
 }
 
-/// A whole configuration as it is read.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Document {
     /// Its version.
@@ -143,13 +144,13 @@
     pub routes: Vec<Route>,
     /// All services.
     pub services: BTreeMap<Service, Backend>,
-    /// What callers may send.
+    /// Limits on requests and connections.
     pub limits: Limits,
-    /// All customers; where there are none, no keys are asked for.
+    /// All customers; if empty, requests need no key.
     pub accounts: Vec<Account>,
 }
 
-/// A document with its look-up tables.
+/// A document with its lookup tables.
 #[derive(Debug, Default)]
 pub struct Table {
     /// The document.
@@ -159,7 +160,7 @@
 }
 
 impl Table {
-    /// Builds the tables of a document.
+    /// Builds the lookup tables of a document.
     #[must_use]
     pub fn new(document: Document) -> Self {
         let mut routes: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
@@ -168,7 +169,7 @@
             host.push(Arc::new(route.clone()));
         }
         for host in routes.values_mut() {
-            // The longest prefix is found first.
+            // Longer prefixes take precedence.
             host.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         let mut keys = HashMap::new();
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Returns the route of a host and path.
+    /// Returns the route for a host and path.
     ///
     /// # Examples
     ///
@@ -200,20 +201,20 @@
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Tells whether callers need keys.
+    /// Returns whether requests need a key.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
         !self.document.accounts.is_empty()
     }
 
-    /// Returns whose key this is.
+    /// Returns the account that a key belongs to.
     #[must_use]
     pub fn account(&self, key: &str) -> Option<&Account> {
         let index = self.keys.get(key)?;
         self.document.accounts.get(*index)
     }
 
-    /// Returns the model of a service, if it runs one spread by layers.
+    /// Returns the model of a service, if it runs one that is split by layers.
     #[must_use]
     pub fn model(&self, service: &Service) -> Option<&Arc<Model>> {
         self.document.services.get(service)?.model.as_ref()
