--- a/crates/core/src/pipeline/server.rs
+++ b/crates/core/src/pipeline/server.rs
@@ -1,4 +1,4 @@
-//! A backend server as it registers itself.
+//! A registered backend server.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,19 +12,18 @@
 use crate::time::Span;
 
 numbers! {
-    /// When a backend server started by its own clock, in milliseconds since 1970.
+    /// The start time of a backend server by its own clock, in milliseconds since 1970.
     ///
-    /// It tells starts apart and orders nothing else: a clock that was set back makes a later start
-    /// look like an earlier one.
+    /// It identifies an incarnation, but does not order them: a clock that was set back makes a
+    /// later start look like an earlier one.
     StartTime;
 }
 
 /// One start of a backend server.
 ///
-/// A server may start again under the name that it had. It then holds nothing and knows nothing of
-/// before, while bookings, suspicions, orders and connections here speak of its earlier start. All that
-/// is remembered of a server is therefore kept under its start, so that nothing of an earlier one can be
-/// taken for the present one.
+/// A server that restarts under its name has lost its memory, while load, suspicions, orders and
+/// connections may still refer to its previous start. All state about a server is therefore kept by
+/// incarnation, so that state of an earlier one is never applied to the current one.
 ///
 /// # Examples
 ///
@@ -35,25 +34,25 @@
 /// let later = Incarnation::new("a".into(), Some(StartTime(9_000)));
 /// assert_ne!(earlier, later);
 /// assert!(earlier.conflicts_with(Some(StartTime(9_000))));
-/// assert!(!earlier.conflicts_with(None), "a server need not tell");
+/// assert!(!earlier.conflicts_with(None), "the start time is optional");
 /// assert_eq!(later.to_string(), "a@9000");
 /// ```
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Incarnation {
-    /// The server's name, the same for all its starts.
+    /// The server's name, the same for all incarnations.
     pub server: Name,
-    /// When it started; `None` where the server does not tell.
+    /// When it started, or `None` if the server does not report it.
     pub started_at: Option<StartTime>,
 }
 
 impl Incarnation {
-    /// Returns the start of a server.
+    /// Returns an incarnation of a server.
     #[must_use]
     pub fn new(server: Name, started_at: Option<StartTime>) -> Self {
         Self { server, started_at }
     }
 
-    /// Tells whether a server that says it started at `started_at` is another start than this one.
+    /// Returns whether a server that reports `started_at` is another incarnation.
     #[must_use]
     pub fn conflicts_with(&self, started_at: Option<StartTime>) -> bool {
         self.started_at.is_some() && started_at.is_some() && self.started_at != started_at
@@ -81,38 +80,38 @@
     }
 }
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new work.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum State {
-    /// It takes new work.
+    /// It accepts new work.
     #[default]
     Ready,
-    /// It finishes what it has and then leaves.
+    /// It finishes its current work and then exits.
     Draining,
-    /// Its registration cannot be read. It gets nothing new and is not counted on; what runs there goes
-    /// on, since the server may be well and another have written in its place.
+    /// Its registration cannot be read. It gets no new work and is not relied on; current work
+    /// continues, since another process may have overwritten the registration of a healthy server.
     Unreadable,
 }
 
-/// One start of a backend server, as it registered itself.
+/// An incarnation of a backend server, as registered.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Server {
-    /// Which start of which server.
+    /// The incarnation.
     pub incarnation: Incarnation,
-    /// The service that it serves.
+    /// The service that it runs.
     pub service: Service,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: State,
-    /// How many requests it runs at a time.
+    /// The maximum number of concurrent requests.
     pub slots: u64,
-    /// Its accelerator; `None` for a plain service.
+    /// Its accelerator, or `None` for a service without a model.
     pub accelerator: Option<Accelerator>,
-    /// The layers that it holds now; empty when none.
+    /// The layers that it holds; may be empty.
     pub held: Range,
-    /// How much longer it is slow after its start.
+    /// How much longer it responds slowly after its start.
     pub warm_up: Span,
 }
