--- a/crates/core/tests/third_server.rs
+++ b/crates/core/tests/third_server.rs
@@ -1,7 +1,7 @@
-//! On how many servers a request runs, whatever its servers do and whatever its entry believes of them.
+//! Simulates the number of servers on which a request runs, under failures and wrong suspicions.
 //!
-//! The world knows what each server is really doing; the entry has the registrations, the answers to its questions
-//! and the ends of its runs. The check is made from the side of the servers, and without tolerance.
+//! The world knows the true state of each server; the entry knows only registrations, health checks
+//! and the outcomes of its runs. The limit is checked against the true state, without tolerance.
 
 #[path = "support/registry.rs"]
 mod registry;
@@ -23,26 +23,26 @@
 use rand::rngs::StdRng;
 use registry::server;
 
-/// How many servers the route allows.
+/// The maximum number of servers of the route.
 const LIMIT: usize = 2;
 const STEP: u64 = 25;
-/// How long after a run was lost its server may have ended for the two to have ended together.
-const TOGETHER: Span = Span(1_000);
+/// How long after the loss of a run its server may end for both to count as one failure.
+const SAME_FAILURE_WINDOW: Span = Span(1_000);
 
-/// What a server is really doing.
+/// The true state of a server.
 #[derive(Clone, Copy, Debug, Default)]
 struct Truth {
     ended: Option<Instant>,
-    /// Its host is gone or cut off: questions stay without an answer.
-    is_dark: bool,
+    /// Its host is down or partitioned: health checks get no response.
+    is_unreachable: bool,
     is_refusing: bool,
     is_draining: bool,
-    /// The entry has not heard that it drains.
-    is_unheard: bool,
-    /// When it exits as planned.
-    exits: Option<Instant>,
-    /// When its registration goes.
-    unregisters: Option<Instant>,
+    /// The entry does not know that it drains.
+    is_drain_unknown: bool,
+    /// When its planned exit happens.
+    exits_at: Option<Instant>,
+    /// When its registration is removed.
+    unregisters_at: Option<Instant>,
 }
 
 #[derive(Debug)]
@@ -51,7 +51,7 @@
     ended: Option<Instant>,
 }
 
-/// One request, as the servers saw it and as its entry books it.
+/// A request, with its runs on the servers and its attempts at the entry.
 #[derive(Debug, Default)]
 struct Request {
     attempts: Attempts,
@@ -67,8 +67,8 @@
     local_health: LocalHealth,
     requests: Vec<Request>,
     joined: u64,
-    /// Runs beyond the limit that were allowed since a server had ended.
-    excused: u64,
+    /// Runs beyond the limit that were allowed because a server had ended.
+    beyond_limit: u64,
 }
 
 impl World {
@@ -82,7 +82,7 @@
             local_health: LocalHealth::new(Span(STEP)),
             requests: Vec::new(),
             joined: 0,
-            excused: 0,
+            beyond_limit: 0,
         };
         (0..6).for_each(|_| world.join());
         world
@@ -92,8 +92,8 @@
         self.random.random_bool(chance)
     }
 
-    fn later(&mut self, most: u64) -> Instant {
-        self.now.plus(Span(self.random.random_range(0..most)))
+    fn random_time_within(&mut self, max: u64) -> Instant {
+        self.now.plus(Span(self.random.random_range(0..max)))
     }
 
     fn join(&mut self) {
@@ -114,19 +114,19 @@
 
     fn step(&mut self) {
         self.now = self.now.plus(Span(STEP));
-        // Now and then the entry stands still for a while.
+        // The entry is suspended now and then.
         if self.is(0.01) {
-            self.now = self.later(2_000);
+            self.now = self.random_time_within(2_000);
         }
         self.local_health.tick(self.now);
-        self.trouble();
-        self.exits();
-        self.ask();
+        self.inject_fault();
+        self.apply_exits();
+        self.check_suspects();
         for number in 0..self.requests.len() {
             let (suspicion, local_health, now) = (&self.suspicion, &self.local_health, self.now);
-            let belief =
+            let liveness =
                 |id: &Incarnation| Liveness::assess(id, now, &self.roster, suspicion, local_health);
-            self.requests[number].attempts.settle(now, belief);
+            self.requests[number].attempts.settle(now, liveness);
             self.advance(number);
         }
         if self.requests.len() < 8 {
@@ -138,64 +138,69 @@
         }
     }
 
-    /// Something happens to a server, or to what the entry hears of it.
-    fn trouble(&mut self) {
+    /// Injects a fault into a server, or into what the entry knows of it.
+    fn inject_fault(&mut self) {
         let id = self.any();
-        let (gone, exit) = (self.later(5_000), self.later(9_000));
+        let (gone, exit) = (
+            self.random_time_within(5_000),
+            self.random_time_within(9_000),
+        );
         let Some(truth) = self.truths.get_mut(&id) else {
             return;
         };
         match self.random.random_range(0..400) {
-            // It says that it drains, and exits when it likes. A slow store may tell the entry too late.
-            kind @ 0..=2 if truth.exits.is_none() => {
+            // It drains, and exits at any time. The entry may learn of it too late because of a
+            // slow store.
+            kind @ 0..=2 if truth.exits_at.is_none() => {
                 truth.is_draining = true;
-                truth.exits = Some(exit);
-                truth.is_unheard = kind == 0;
-                if !truth.is_unheard {
+                truth.exits_at = Some(exit);
+                truth.is_drain_unknown = kind == 0;
+                if !truth.is_drain_unknown {
                     self.roster.seen(self.now, server(id, State::Draining));
                 }
             }
-            // It leaves without saying so.
-            3..=4 if truth.exits.is_none() => {
-                truth.exits = Some(exit);
-                truth.unregisters = Some(gone.min(exit));
+            // It exits without draining.
+            3..=4 if truth.exits_at.is_none() => {
+                truth.exits_at = Some(exit);
+                truth.unregisters_at = Some(gone.min(exit));
             }
-            // One that leaves refuses new connections.
-            5..=40 if truth.exits.is_some() && !truth.is_draining => {
+            // An exiting server refuses new connections.
+            5..=40 if truth.exits_at.is_some() && !truth.is_draining => {
                 truth.is_refusing = self.roster.get(&id).is_none();
             }
             41..=60 if truth.is_draining => truth.is_refusing = true,
             61..=62 => self.die(&id, false),
             63 => self.die(&id, true),
-            // Runs break off on it: another part of their paths died. On a leaver of which the entry has not heard that
-            // could not be told from its exit.
-            64..=67 if !truth.is_unheard => self.break_runs(&id, None),
-            // It is suspected for no reason.
+            // Runs on it break off because another part of their paths died. Excludes servers whose
+            // draining is unknown to the entry, since that cannot be told from their exit.
+            64..=67 if !truth.is_drain_unknown => self.break_runs(&id, None),
+            // It is suspected without cause.
             68..=73 => {
                 self.suspicion.suspect(self.now, &id);
             }
-            // Its registration goes, and comes back, though it lives. That of one that drains goes when it exits.
+            // Its registration is removed and restored while it lives. A draining server's
+            // registration is removed when it exits.
             74..=75 if !truth.is_draining => {
                 self.roster.removed(self.now, &id.server);
                 self.roster
                     .tell_dead(self.now, &self.suspicion, &self.local_health);
             }
-            76..=79 if truth.exits.is_none() => {
+            76..=79 if truth.exits_at.is_none() => {
                 self.roster.seen(self.now, server(id, State::Ready));
             }
             _ => {}
         }
     }
 
-    fn die(&mut self, id: &Incarnation, is_dark: bool) {
-        let gone = self.later(4_000);
+    fn die(&mut self, id: &Incarnation, is_unreachable: bool) {
+        let gone = self.random_time_within(4_000);
         if let Some(truth) = self.truths.get_mut(id) {
             truth.ended = Some(self.now);
-            truth.is_dark = is_dark;
-            truth.is_refusing = !is_dark;
-            truth.unregisters = Some(gone);
+            truth.is_unreachable = is_unreachable;
+            truth.is_refusing = !is_unreachable;
+            truth.unregisters_at = Some(gone);
         }
-        if !is_dark {
+        if !is_unreachable {
             self.break_runs(id, Some(self.now));
         }
         self.join();
@@ -203,7 +208,7 @@
 
     fn break_runs(&mut self, id: &Incarnation, ended: Option<Instant>) {
         let now = ended.unwrap_or(self.now);
-        // It is asked at once, and suspected if it does not answer.
+        // It is checked at once, and suspected if it does not answer.
         if self.truths[id].is_refusing {
             self.suspicion.suspect(now, id);
             self.suspicion.set_refusing(id);
@@ -218,15 +223,15 @@
         }
     }
 
-    /// Servers exit as planned, once their runs have ended or not, and registrations go.
-    fn exits(&mut self) {
+    /// Applies planned exits, whether or not runs have ended, and removes registrations.
+    fn apply_exits(&mut self) {
         let ids: Vec<Incarnation> = self.truths.keys().cloned().collect();
         for id in ids {
             let truth = self.truths[&id];
-            if truth.ended.is_none() && truth.exits.is_some_and(|at| at <= self.now) {
+            if truth.ended.is_none() && truth.exits_at.is_some_and(|at| at <= self.now) {
                 self.die(&id, false);
             }
-            if truth.unregisters.is_some_and(|at| at <= self.now) {
+            if truth.unregisters_at.is_some_and(|at| at <= self.now) {
                 self.roster.removed(self.now, &id.server);
                 self.roster
                     .tell_dead(self.now, &self.suspicion, &self.local_health);
@@ -237,30 +242,33 @@
         self.roster.expire(self.now);
     }
 
-    /// The entry asks suspects; all but the dark ones answer or refuse.
-    fn ask(&mut self) {
-        let was_late = self
+    /// Checks the suspects; all but unreachable ones answer or refuse.
+    fn check_suspects(&mut self) {
+        let was_delayed = self
             .local_health
             .was_delayed(Instant(self.now.0 - 200), self.now);
         for id in self.suspicion.due(self.now) {
             let truth = self.truths[&id];
             match truth {
-                Truth { is_dark: true, .. } => {}
+                Truth {
+                    is_unreachable: true,
+                    ..
+                } => {}
                 Truth {
                     is_refusing: true, ..
                 } => self.suspicion.set_refusing(&id),
-                _ if was_late => {}
+                _ if was_delayed => {}
                 _ => {
                     self.suspicion.clear(&id);
                 }
             }
         }
-        if !was_late {
+        if !was_delayed {
             self.local_health.record_answer(self.now);
         }
     }
 
-    /// A request is sent, moved by choice, or given up for a server that was found dead.
+    /// Sends a request, moves it by choice, or moves it off a server that was found dead.
     fn advance(&mut self, number: usize) {
         let running = self.requests[number].runs.last();
         let running = running
@@ -268,7 +276,7 @@
             .map(|run| run.server.clone());
         let choice: f64 = self.random.random();
         if let Some(id) = &running {
-            let is_found_dead = self.suspicion.is_suspected(id) && self.truths[id].is_dark;
+            let is_found_dead = self.suspicion.is_suspected(id) && self.truths[id].is_unreachable;
             if !is_found_dead && choice > 0.01 {
                 return;
             }
@@ -282,7 +290,7 @@
             if is_found_dead {
                 request.attempts.lost(now, id);
             } else {
-                // A run that is left goes on until another server has taken the request.
+                // The old run goes on until another server has accepted the request.
                 self.send(number);
                 self.requests[number].attempts.left(id);
                 return;
@@ -295,18 +303,18 @@
 
     fn outlook(&self, number: usize) -> Permission {
         let (suspicion, local_health) = (&self.suspicion, &self.local_health);
-        let belief = |id: &Incarnation| {
+        let liveness = |id: &Incarnation| {
             Liveness::assess(id, self.now, &self.roster, suspicion, local_health)
         };
-        self.requests[number].attempts.outlook(LIMIT, belief)
+        self.requests[number].attempts.outlook(LIMIT, liveness)
     }
 
     fn send(&mut self, number: usize) {
         let id = self.any();
-        let is_open = !self.truths[&id].is_refusing && !self.truths[&id].is_draining;
+        let is_accepting = !self.truths[&id].is_refusing && !self.truths[&id].is_draining;
         let request = &mut self.requests[number];
-        let is_there = request.runs.last().is_some_and(|run| run.server == id);
-        if !is_open || is_there {
+        let is_same_server = request.runs.last().is_some_and(|run| run.server == id);
+        if !is_accepting || is_same_server {
             return;
         }
         request.attempts.begin(id.clone());
@@ -317,13 +325,13 @@
         self.check(number);
     }
 
-    /// Counts the servers that ran a request and had not ended when it left them.
+    /// Checks the number of servers that ran a request and outlived their run.
     fn check(&mut self, number: usize) {
         let runs = &self.requests[number].runs;
         let ended_with = |run: &Run| {
             let (left, ended) = (run.ended, self.truths[&run.server].ended);
             let both = left.zip(ended);
-            both.is_some_and(|(left, ended)| ended <= left.plus(TOGETHER))
+            both.is_some_and(|(left, ended)| ended <= left.plus(SAME_FAILURE_WINDOW))
         };
         let mut alive: Vec<&Incarnation> = runs
             .iter()
@@ -332,41 +340,37 @@
             .collect();
         alive.sort();
         alive.dedup();
-        let told = runs
+        let runs_with_truth = runs
             .iter()
             .map(|run| (&run.server, run.ended, self.truths[&run.server]));
         assert!(
             alive.len() <= LIMIT,
             "at {}: {:#?} {:?}",
             self.now,
-            told.collect::<Vec<_>>(),
+            runs_with_truth.collect::<Vec<_>>(),
             self.requests[number].attempts
         );
-        self.excused += u64::from(runs.len() > LIMIT);
+        self.beyond_limit += u64::from(runs.len() > LIMIT);
     }
 }
 
-fn play(seeds: std::ops::Range<u64>) -> u64 {
-    let mut excused = 0;
+fn simulate(seeds: std::ops::Range<u64>) -> u64 {
+    let mut beyond_limit = 0;
     for seed in seeds {
         let mut world = World::new(seed);
         (0..4_000).for_each(|_| world.step());
-        excused += world.excused;
+        beyond_limit += world.beyond_limit;
     }
-    excused
+    beyond_limit
 }
 
-/// Callers' requests ran on three servers of a route that allows two, all of them alive.
-///
-/// Servers drain, leave unannounced, refuse, exit at any time, crash, go dark and are suspected for nothing;
-/// registrations go and come back; runs break off, are given up by choice or for a server found dead; the entry stands
-/// still now and then.
+/// Guards against requests that run on three live servers of a route that allows two.
 #[test]
 fn no_request_runs_on_more_living_servers_than_its_route_allows() {
-    let excused = play(0..60);
+    let beyond_limit = simulate(0..60);
 
     assert!(
-        excused > 100,
-        "only {excused} requests went on after a death"
+        beyond_limit > 100,
+        "only {beyond_limit} requests exceeded the limit after a death"
     );
 }
