--- a/crates/core/tests/belief.rs
+++ b/crates/core/tests/belief.rs
@@ -1,4 +1,5 @@
-//! What an entry believes of servers that fail it, and on how many servers a request may run.
+//! The liveness of failing servers as an entry assesses it, and the number of servers on which a
+//! request may run.
 
 #[path = "support/registry.rs"]
 mod registry;
@@ -37,9 +38,8 @@
     );
 }
 
-/// A request may run on a third server of a route that allows two: the first is alive when the request leaves it.
-///
-/// It exits later, as planned. Judged by the list of servers then, it did not count any more.
+/// Guards against a third server for a request because the first one, alive when the request left
+/// it, exits later.
 #[test]
 fn a_server_that_was_left_alive_counts_for_good() {
     let mut attempts = Attempts::default();
@@ -56,7 +56,8 @@
     assert_eq!(attempts.outlook(2, gone), Permission::Denied);
 }
 
-/// The request goes on elsewhere: its server died, and is found dead half a second later.
+/// A request may move if its server died with the run, even if it is found dead only half a second
+/// later.
 #[test]
 fn a_server_that_died_with_its_run_does_not_count() {
     let mut attempts = Attempts::default();
@@ -77,7 +78,7 @@
     );
 }
 
-/// A run breaks off on a server that lives, since another part of its path died. The server exits later.
+/// A run breaks off on a live server because another part of its path died; the server exits later.
 #[test]
 fn a_server_that_ends_after_its_run_broke_off_counts() {
     let mut attempts = Attempts::default();
@@ -92,7 +93,7 @@
     assert_eq!(attempts.outlook(2, alive), Permission::Denied);
 }
 
-fn beaten(until: u64) -> LocalHealth {
+fn on_time_until(until: u64) -> LocalHealth {
     let mut local_health = LocalHealth::new(Span(25));
     for now in (25..=until).step_by(25) {
         local_health.tick(Instant(now));
@@ -100,16 +101,12 @@
     local_health
 }
 
-/// Callers' requests ran on three servers of a route that allows two, all of them alive.
-///
-/// An entry stands still, or gets little of its processor, while a server's answer is under way. The answer is
-/// overdue when it goes on, the server is suspected, and half a second later it counted as ended: another
-/// attempt was free. What proved it: the servers on which these requests ran never ended, and the entry that
-/// sent them was slowed at that time.
+/// Guards against requests on a third live server: an entry that is suspended or short of CPU time
+/// finds responses overdue, and counted the server as ended.
 #[test]
 fn a_server_that_is_silent_to_a_late_process_has_not_ended() {
     let mut suspicion = Suspicion::default();
-    let mut local_health = beaten(1_000);
+    let mut local_health = on_time_until(1_000);
     local_health.tick(Instant(3_000));
     suspicion.suspect(Instant(3_010), &"a".into());
     for now in (3_025..3_600).step_by(25) {
@@ -130,14 +127,12 @@
     );
 }
 
-/// Callers' requests ran on three servers of a route that allows two, all of them alive.
-///
-/// A server that leaves as planned refuses new connections some seconds before it exits, and serves on those that it
-/// has. Half a second of that counted as its end, and each request that had run there was free for another server.
+/// Guards against requests on a third live server: a server before its planned exit refuses new
+/// connections while it serves the open ones, and counted as ended.
 #[test]
 fn a_server_that_refuses_new_connections_has_not_ended_by_that() {
     let mut suspicion = Suspicion::default();
-    let mut local_health = beaten(9_000);
+    let mut local_health = on_time_until(9_000);
     suspicion.suspect(Instant(1_500), &"a".into());
     suspicion.set_refusing(&"a".into());
     local_health.record_answer(Instant(8_900));
@@ -154,7 +149,8 @@
     );
 }
 
-/// The same of a server that is known to drain, and with answers that break off there: a later part of their paths died.
+/// Guards against counting a draining server as ended because responses from it broke off; a later
+/// part of their paths died.
 #[test]
 fn a_server_that_drains_has_ended_when_its_registration_goes() {
     let (mut suspicion, mut roster) = (Suspicion::default(), Roster::default());
@@ -163,18 +159,23 @@
     suspicion.suspect(Instant(3_000), &id);
     suspicion.set_refusing(&id);
     suspicion.connection_broken(Instant(3_100), &id);
-    let believed =
-        |roster: &Roster| Liveness::assess(&id, Instant(9_000), roster, &suspicion, &beaten(9_000));
+    let liveness = |roster: &Roster| {
+        Liveness::assess(
+            &id,
+            Instant(9_000),
+            roster,
+            &suspicion,
+            &on_time_until(9_000),
+        )
+    };
 
-    assert_eq!(believed(&roster), Liveness::Suspected);
+    assert_eq!(liveness(&roster), Liveness::Suspected);
     roster.removed(Instant(9_000), &id.server);
-    assert_eq!(believed(&roster), Liveness::Ended(Evidence::Unregistered));
+    assert_eq!(liveness(&roster), Liveness::Ended(Evidence::Unregistered));
 }
 
-/// A request may run on a third server of a route that allows two, all of them alive.
-///
-/// Some servers leave without saying that they drain: their registration goes, and they serve on for seconds. The
-/// missing registration counted as their end. One that died was suspected before its registration lapsed.
+/// Guards against requests on a third live server: some servers leave without draining and go on
+/// serving after their registration is removed. A server that was suspected before has died.
 #[test]
 fn a_server_whose_registration_goes_unannounced_may_still_serve() {
     let (mut suspicion, mut roster) = (Suspicion::default(), Roster::default());
@@ -182,7 +183,7 @@
         roster.seen(Instant(0), server(id, State::Ready));
     }
     suspicion.suspect(Instant(1_000), &"dead".into());
-    let mut local_health = beaten(5_000);
+    let mut local_health = on_time_until(5_000);
     local_health.record_answer(Instant(1_000));
 
     for id in ["leaver", "dead"] {
@@ -190,7 +191,7 @@
     }
     roster.tell_dead(Instant(4_980), &suspicion, &local_health);
 
-    let believed = |id: &str| {
+    let liveness = |id: &str| {
         Liveness::assess(
             &id.into(),
             Instant(5_000),
@@ -199,10 +200,10 @@
             &local_health,
         )
     };
-    assert_eq!(believed("leaver"), Liveness::Alive);
-    assert_eq!(believed("dead"), Liveness::Ended(Evidence::Unregistered));
+    assert_eq!(liveness("leaver"), Liveness::Alive);
+    assert_eq!(liveness("dead"), Liveness::Ended(Evidence::Unregistered));
     assert_eq!(
-        believed("never-known"),
+        liveness("never-known"),
         Liveness::Ended(Evidence::Unregistered)
     );
 }
@@ -210,7 +211,7 @@
 #[test]
 fn a_server_that_is_silent_to_a_process_on_time_has_ended_after_half_a_second() {
     let mut suspicion = Suspicion::default();
-    let mut local_health = beaten(2_000);
+    let mut local_health = on_time_until(2_000);
     suspicion.suspect(Instant(1_500), &"a".into());
     local_health.record_answer(Instant(1_700));
 
@@ -226,15 +227,12 @@
     );
 }
 
-/// Callers' requests ran on three servers of a route that allows two, all of them alive.
-///
-/// An entry's link is full for a second, of what entries tell one another. The process is on time, and the answers
-/// of all servers are not: it found them dead one after the other, counted them as ended half a second later, and
-/// each request that it had given up was free for another server. No server answered it in that time.
+/// Guards against requests on a third live server: on a saturated link the responses of all servers
+/// are late, and an entry that was on time itself counted them as ended.
 #[test]
 fn a_server_that_is_silent_while_nobody_answers_has_not_ended() {
     let mut suspicion = Suspicion::default();
-    let mut local_health = beaten(3_000);
+    let mut local_health = on_time_until(3_000);
     local_health.record_answer(Instant(1_400));
     suspicion.suspect(Instant(1_500), &"a".into());
 
@@ -251,13 +249,11 @@
     );
 }
 
-/// A hundred entries ask a server that they all suspect about as often as a single one would.
-///
-/// Each asked again every second and a half for as long as the server was registered, over a new connection; a
-/// rack that died was a hundred questions a second for each of its servers.
+/// Guards against a flood of checks: each entry checked a dead server every 1.5 seconds, over a new
+/// connection, for as long as it was registered.
 #[test]
 fn many_entries_ask_a_suspect_no_more_often_than_one() {
-    let asked = |others: u64| {
+    let checks = |others: u64| {
         let mut suspicion = Suspicion::default();
         suspicion.suspect(Instant(0), &"a".into());
         suspicion.set_peer_reports(Instant(1), [("a".into(), others)].into());
@@ -265,13 +261,13 @@
         times.count() as u64
     };
 
-    let alone = asked(0);
-    let together = 100 * asked(99);
+    let alone = checks(0);
+    let together = 100 * checks(99);
 
     assert!(together <= 8 * alone, "{together} of {alone}");
 }
 
-/// A suspect that the others trust again is asked at once, however long the pause is by then.
+/// A suspect that other entries trust again is checked at once, whatever its delay.
 #[test]
 fn a_suspect_that_others_trust_again_is_asked_at_once() {
     let mut suspicion = Suspicion::default();
@@ -290,12 +286,12 @@
     let mut suspicion = Suspicion::default();
     suspicion.suspect(Instant(0), &"a".into());
 
-    let asked = (0..10_000).filter(|now| !suspicion.due(Instant(*now)).is_empty());
+    let checks = (0..10_000).filter(|now| !suspicion.due(Instant(*now)).is_empty());
 
-    assert!((6..12).contains(&asked.count()));
+    assert!((6..12).contains(&checks.count()));
 }
 
-/// Guards against healthy servers losing their layers because a planner's own link loses packets.
+/// Guards against healthy servers losing their layers because the planner's own link loses packets.
 #[test]
 fn silence_that_nobody_else_meets_gives_up_no_layers_at_once() {
     let mut suspicion = Suspicion::default();
@@ -313,8 +309,8 @@
     );
     let mut local_health = LocalHealth::new(Span(25));
     local_health.record_answer(Instant(10));
-    for beat in 0..=40 {
-        local_health.tick(Instant(beat * 25));
+    for tick in 0..=40 {
+        local_health.tick(Instant(tick * 25));
     }
     assert!(suspicion.is_replaceable(Instant(1_000), &"a".into(), &local_health));
 }
@@ -326,8 +322,8 @@
     let mut local_health = LocalHealth::new(Span(25));
     suspicion.suspect(Instant(0), &"a".into());
     local_health.record_answer(Instant(10));
-    for beat in 0..=80 {
-        local_health.tick(Instant(beat * 25));
+    for tick in 0..=80 {
+        local_health.tick(Instant(tick * 25));
     }
 
     assert!(!suspicion.is_replaceable(Instant(1_999), &"a".into(), &local_health));
