--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -47,10 +47,8 @@
     assert!(usable(&roster).is_empty());
 }
 
-/// Callers are served through the store's return.
-///
-/// The store is away for some seconds, and all registrations lapse meanwhile. When it is back its
-/// list is empty. The servers live and register again within two seconds; until then they count.
+/// Guards against refused requests after an outage of the store, in which all registrations expire.
+/// Live servers register again within two seconds; until then they count.
 #[test]
 fn registrations_that_lapsed_in_an_outage_count_a_little_longer() {
     let mut roster = with(&["a", "b"]);
@@ -77,7 +75,7 @@
     assert_eq!(usable(&roster), ["b"]);
 }
 
-/// A server that said that it drains gets nothing new, whatever the store does meanwhile.
+/// Guards against new work for a draining server during an outage of the store.
 #[test]
 fn a_server_known_to_drain_does_not_lapse() {
     let mut roster = with(&["a"]);
@@ -106,10 +104,8 @@
     );
 }
 
-/// Callers find the layers that a server holds since its move, which the store could not tell.
-///
-/// A planner moves a server while the store is away and hears from the server that it holds other
-/// layers. What registers after the store's return goes before that again.
+/// Guards against routing by outdated layers while the store is unavailable; after its return, the
+/// registration takes precedence again.
 #[test]
 fn what_a_server_says_counts_only_while_the_store_is_away() {
     let mut roster = with(&["a"]);
@@ -135,11 +131,8 @@
     );
 }
 
-/// No second planner gives orders while the first one goes on.
-///
-/// The store answers nobody at first, and the planner goes on. Then it answers a single entry, which may
-/// be made planner: whoever hears of that stops. Entries that fall silent may be with the store behind
-/// a cut, so half of them are enough to stop as well.
+/// Guards against two active planners. The store may answer a single entry, which may become
+/// planner, and silent entries may be on the store's side of a partition.
 #[test]
 fn an_outage_is_for_all_only_while_nobody_is_served() {
     let all = Observation {
@@ -162,10 +155,8 @@
     assert!(is_global(Observation::default()), "an entry that is alone");
 }
 
-/// A planner that has just been made gives layers at once to a server that joined before.
-///
-/// Servers that joined a moment ago wait for the word of the one that they replace. What counts is when
-/// they joined, not when the planner's term began; a change of what they hold does not make them new.
+/// Guards against a new planner that treats servers as newly joined. The age counts from when a
+/// server was first seen, not from the start of the planner's term or from a change of its layers.
 #[test]
 fn a_server_ages_from_when_it_was_first_seen() {
     let mut roster = with(&["a"]);
@@ -178,12 +169,9 @@
     assert_eq!(roster.age(Instant(6_000), &"c".into()), None);
 }
 
-/// A server that leaves gets nothing new for longer than two seconds.
-///
-/// An entry was turned away by the store for a while. Half a second after the store's return a server
-/// leaves, which shows as a registration that is removed, like one that lapsed. Registrations that did
-/// lapse are back two seconds after the return; counted from the removal, the leaver would get requests
-/// for half a second more.
+/// Guards against new work for a leaving server for more than two seconds: its removal shortly
+/// after the store's return looks like an expired registration. The grace period counts from the
+/// store's return.
 #[test]
 fn grace_ends_two_seconds_after_the_stores_return() {
     let mut roster = with(&["a", "b"]);
@@ -197,10 +185,8 @@
     assert_eq!(roster.expire(Instant(11_000)), vec!["a".into()]);
 }
 
-/// A server gets nothing new while its entry cannot be read, and what runs there goes on.
-///
-/// Somebody else writes over the entry of a known server. It may drain or hold other layers by now, so
-/// it is not used; it is still the server that streams run through. Its own next heartbeat names it again.
+/// Guards against routing by an outdated registration after another process has overwritten it.
+/// Current work on the server continues, and its next heartbeat makes it usable again.
 #[test]
 fn an_unreadable_entry_names_no_server_to_use() {
     let mut roster = with(&["a", "b"]);
@@ -217,7 +203,7 @@
     assert_eq!(roster.age(Instant(1_000), &"a".into()), Some(Span(1_000)));
 }
 
-/// An unreadable entry gets no grace: nothing says that its server lives.
+/// An unreadable registration gets no grace period, because nothing shows that its server is alive.
 #[test]
 fn an_unreadable_entry_does_not_lapse() {
     let mut roster = with(&["a"]);
@@ -232,7 +218,7 @@
     );
 }
 
-/// A whole read that finds an unreadable entry does not take its server for one that vanished.
+/// A complete read distinguishes unreadable registrations from missing ones.
 #[test]
 fn a_whole_read_tells_unreadable_entries_from_missing_ones() {
     let mut roster = with(&["a", "b", "c"]);
