--- a/crates/core/tests/cells.rs
+++ b/crates/core/tests/cells.rs
@@ -1,8 +1,8 @@
-//! What entries tell one another, as their number grows.
+//! The reports that entries send each other, as their number grows.
 //!
-//! The load: entries in five availability zones have a few streams each over the same servers, and each must know
-//! what all have together. With all telling all, what an entry knew was older the more entries there were, and the
-//! messages filled the links on which servers were asked whether they live.
+//! The load: entries in five availability zones have a few streams each over the same servers, and
+//! each must know the sum. Guards against reports that get older with the number of entries, and
+//! against messages that saturate the links.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails must panic")]
 
@@ -32,13 +32,13 @@
 
 const ZONES: usize = 5;
 const SERVERS: usize = 12;
-/// The pause between two steps, in milliseconds.
+/// The interval between two steps in milliseconds.
 const STEP: u64 = 30;
-/// The most messages an entry may send in a second, whatever the number of entries up to a thousand: it gets as many,
-/// at some 15 microseconds each, and may spend 2.8 parts in a hundred of a core on control.
-const MOST_MESSAGES: f64 = 900.0;
+/// The maximum number of messages that an entry may send per second, for up to a thousand entries.
+/// It receives as many, at about 15 µs each, and may spend 2.8 % of a core on control.
+const MAX_MESSAGES: f64 = 900.0;
 
-fn place(number: usize) -> Location {
+fn location(number: usize) -> Location {
     Location {
         zone: format!("zone-{}", number % ZONES).as_str().into(),
         address: SocketAddr::from(([10, 0, (number / 250) as u8, (number % 250) as u8], 7340)),
@@ -53,7 +53,7 @@
     format!("server-{number}").as_str().into()
 }
 
-/// What an entry itself has to tell: one stream on each of two servers.
+/// The report of an entry: one stream on each of two servers.
 fn own(number: usize) -> Summary {
     let used = |index: usize| {
         let used = Usage {
@@ -72,9 +72,9 @@
 
 struct Entry {
     directory: Directory,
-    board: Reports,
-    word: Summary,
-    tells_at: u64,
+    reports: Reports,
+    report: Summary,
+    reports_at: u64,
     relays_at: u64,
     is_alive: bool,
     is_cut: bool,
@@ -86,23 +86,23 @@
     draw: StdRng,
     entries: Vec<Entry>,
     addresses: BTreeMap<SocketAddr, usize>,
-    /// Messages under way: when they arrive, from whom, to whom, what.
+    /// Messages in flight: arrival time, sender, receiver, scope and summary.
     messages: Vec<(u64, usize, usize, Scope, Summary)>,
-    lost: f64,
+    loss: f64,
 }
 
 impl World {
-    fn new(count: usize, lost: f64) -> Self {
+    fn new(count: usize, loss: f64) -> Self {
         let mut draw = StdRng::seed_from_u64(count as u64);
         let entries = (0..count).map(|number| {
-            let mut directory = Directory::new(name(number), place(number));
-            let announced = (0..count).map(|other| (name(other), place(other)));
+            let mut directory = Directory::new(name(number), location(number));
+            let announced = (0..count).map(|other| (name(other), location(other)));
             directory.replaced(announced);
             Entry {
                 directory,
-                board: Reports::default(),
-                word: own(number),
-                tells_at: draw.random_range(0..REPORT_INTERVAL.0),
+                reports: Reports::default(),
+                report: own(number),
+                reports_at: draw.random_range(0..REPORT_INTERVAL.0),
                 relays_at: draw.random_range(0..RELAY_INTERVAL.0),
                 is_alive: true,
                 is_cut: false,
@@ -113,25 +113,25 @@
         Self {
             now: 0,
             entries,
-            addresses: (0..count).map(|n| (place(n).address, n)).collect(),
+            addresses: (0..count).map(|n| (location(n).address, n)).collect(),
             messages: Vec::new(),
             draw,
-            lost,
+            loss,
         }
     }
 
-    fn run(&mut self, lasts: Span) {
-        let end = self.now + lasts.0;
+    fn run(&mut self, duration: Span) {
+        let end = self.now + duration.0;
         while self.now < end {
             self.now += STEP;
-            self.hear();
+            self.deliver();
             for number in 0..self.entries.len() {
-                self.tell(number);
+                self.send(number);
             }
         }
     }
 
-    fn hear(&mut self) {
+    fn deliver(&mut self) {
         let now = Instant(self.now);
         for message in std::mem::take(&mut self.messages) {
             let (at, from, to, scope, summary) = message;
@@ -139,49 +139,49 @@
                 self.messages.push((at, from, to, scope, summary));
                 continue;
             }
-            let hearer = &mut self.entries[to];
-            if hearer.is_alive && !hearer.is_cut {
-                hearer.directory.heard(now, &name(from), place(from));
-                hearer
-                    .board
+            let receiver = &mut self.entries[to];
+            if receiver.is_alive && !receiver.is_cut {
+                receiver.directory.heard(now, &name(from), location(from));
+                receiver
+                    .reports
                     .receive(now, name(from), scope, Fragment::default(), summary);
             }
         }
     }
 
-    fn tell(&mut self, number: usize) {
+    fn send(&mut self, number: usize) {
         let now = Instant(self.now);
         let entry = &mut self.entries[number];
         if !entry.is_alive {
             return;
         }
-        entry.board.expire(now);
-        let mut told: Vec<(SocketAddr, Scope, Summary)> = Vec::new();
-        if self.now >= entry.tells_at {
-            entry.tells_at = self.now + REPORT_INTERVAL.0;
+        entry.reports.expire(now);
+        let mut outgoing: Vec<(SocketAddr, Scope, Summary)> = Vec::new();
+        if self.now >= entry.reports_at {
+            entry.reports_at = self.now + REPORT_INTERVAL.0;
             let rest = entry
                 .directory
                 .is_speaker(now)
-                .then(|| entry.board.rest(now));
+                .then(|| entry.reports.rest(now));
             for address in entry.directory.neighbours() {
-                told.push((address, Scope::Own, entry.word.clone()));
+                outgoing.push((address, Scope::Own, entry.report.clone()));
                 let rest = rest.iter().filter(|rest| rest.entries > 0);
-                told.extend(rest.map(|rest| (address, Scope::Rest, rest.clone())));
+                outgoing.extend(rest.map(|rest| (address, Scope::Rest, rest.clone())));
             }
         }
         if self.now >= entry.relays_at {
             entry.relays_at = self.now + RELAY_INTERVAL.0;
             if entry.directory.is_speaker(now) {
-                let sum = entry.board.cell(now, &entry.word);
+                let sum = entry.reports.cell(now, &entry.report);
                 let scope = Scope::Cell(entry.directory.home().clone());
                 let targets = entry.directory.targets(now).into_iter();
-                told.extend(targets.map(|address| (address, scope.clone(), sum.clone())));
+                outgoing.extend(targets.map(|address| (address, scope.clone(), sum.clone())));
             }
         }
         let is_cut = entry.is_cut;
-        entry.sent += told.len() as u64;
-        for (address, scope, summary) in told {
-            if is_cut || self.draw.random_bool(self.lost) {
+        entry.sent += outgoing.len() as u64;
+        for (address, scope, summary) in outgoing {
+            if is_cut || self.draw.random_bool(self.loss) {
                 continue;
             }
             let arrives = self.now + self.draw.random_range(0..40);
@@ -190,39 +190,39 @@
         }
     }
 
-    /// Returns what an entry knows of all, itself included.
+    /// Returns the sum that an entry knows, including itself.
     fn known(&self, number: usize) -> Summary {
         let entry = &self.entries[number];
-        let mut all = entry.board.others(Instant(self.now));
-        all.merge(&entry.word);
+        let mut all = entry.reports.others(Instant(self.now));
+        all.merge(&entry.report);
         all
     }
 
     fn total(&self) -> Summary {
         let mut all = Summary::default();
         let alive = self.entries.iter().filter(|entry| entry.is_alive);
-        alive.for_each(|entry| all.merge(&entry.word));
+        alive.for_each(|entry| all.merge(&entry.report));
         all
     }
 }
 
-/// Nothing that is told gets older, or costs an entry more, because there are more entries.
+/// The age of reports and the messages per entry are bounded for any number of entries.
 #[test]
 fn messages_are_bounded_whatever_the_number_of_entries() {
     assert!(REPORT_TTL >= Span(3 * RELAY_INTERVAL.0) && REPORT_TTL >= Span(3 * REPORT_INTERVAL.0));
     assert!(REPORT_TTL >= MAX_REPORT_AGE);
     for count in [2, 3, 8, 16, 17, 30, 52, 103, 141, 250, 370, 600, 1_000] {
-        let mut directory = Directory::new(name(0), place(0));
-        directory.replaced((0..count).map(|number| (name(number), place(number))));
+        let mut directory = Directory::new(name(0), location(0));
+        directory.replaced((0..count).map(|number| (name(number), location(number))));
 
-        let near = directory.neighbours().len();
-        let far = directory.targets(Instant(0)).len();
+        let neighbours = directory.neighbours().len();
+        let targets = directory.targets(Instant(0)).len();
 
-        assert!(near < MAX_ENTRIES, "{count}: {near}");
-        // A speaker tells its cell two words, its own and the sum of all others.
-        let sent = 2.0 * near as f64 / (REPORT_INTERVAL.0 as f64 / 1e3)
-            + far as f64 / (RELAY_INTERVAL.0 as f64 / 1e3);
-        assert!(sent <= MOST_MESSAGES, "{count}: {sent}");
+        assert!(neighbours < MAX_ENTRIES, "{count}: {neighbours}");
+        // A speaker sends its cell two reports: its own, and the sum of all other cells.
+        let sent = 2.0 * neighbours as f64 / (REPORT_INTERVAL.0 as f64 / 1e3)
+            + targets as f64 / (RELAY_INTERVAL.0 as f64 / 1e3);
+        assert!(sent <= MAX_MESSAGES, "{count}: {sent}");
     }
 }
 
@@ -234,10 +234,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Every entry knows what all have together, with a twentieth of the messages lost, and forgets those that die.
-    ///
-    /// Any entries die at the same moment, speakers or not. What they had in flight ends with them; were it counted
-    /// on, their servers would be left alone although they have room.
+    /// Every entry knows the sum of all entries at a message loss of 5 %, and drops those that die,
+    /// speakers or not. Otherwise servers would stay unused because of requests that ended with
+    /// their entries.
     #[test]
     fn all_know_the_sum_and_forget_the_dead(
         count in 2_usize..150,
@@ -253,7 +252,8 @@
         for number in dead {
             world.entries[number % count].is_alive = false;
         }
-        // Those told at first hand forget them, and whoever speaks next for their cell is found.
+        // Reports received directly expire first; then the next speakers of the dead entries' cells
+        // take over.
         world.run(Span(2 * REPORT_TTL.0 + MAX_ENTRIES as u64 * RELAY_INTERVAL.0 + MAX_REPORT_AGE.0));
 
         let total = world.total();
@@ -265,7 +265,7 @@
     }
 }
 
-/// A third of the messages is lost, and still nobody's load is forgotten.
+/// Guards against forgetting an entry's load at a message loss of 30 %.
 #[test]
 fn lost_messages_cost_no_knowledge() {
     let mut world = World::new(103, 0.3);
@@ -280,9 +280,8 @@
     }
 }
 
-/// What a hundred entries have is known within a second after all have started together, as after a power cut.
-///
-/// All callers come back at that moment, and entries that know nothing of one another send them to the same servers.
+/// Guards against a herd after a simultaneous start of all entries, for example after a power
+/// failure: entries that do not know each other's load send all callers to the same servers.
 #[test]
 fn what_all_have_is_known_soon() {
     let mut world = World::new(103, 0.0);
@@ -294,28 +293,29 @@
     }
 }
 
-/// One entry that accuses all servers is one voice, in its own cell and in all others.
-///
-/// Its link is down towards the servers, so it finds all of them dead, and says so. Believed, it would have the
-/// whole fleet leave every server at once.
+/// Guards against a single entry that suspects all servers: counted more than once, it would make
+/// all entries avoid every server.
 #[test]
 fn one_accuser_is_one_voice_everywhere() {
     let mut world = World::new(103, 0.05);
-    world.entries[7].word.suspects = (0..SERVERS).map(|index| (server(index), 1)).collect();
+    world.entries[7].report.suspects = (0..SERVERS).map(|index| (server(index), 1)).collect();
 
     world.run(Span(3_000));
 
     for number in (0..103).filter(|number| *number != 7) {
-        let told = world.entries[number]
-            .board
+        let suspects = world.entries[number]
+            .reports
             .others(Instant(world.now))
             .suspects;
-        assert_eq!(told.len(), SERVERS);
-        assert!(told.values().all(|entries| *entries == 1), "entry {number}");
+        assert_eq!(suspects.len(), SERVERS);
+        assert!(
+            suspects.values().all(|entries| *entries == 1),
+            "entry {number}"
+        );
     }
 }
 
-/// Entries that are cut off from all others know nothing of them, and all know them again afterwards.
+/// Partitioned entries know nothing of the others, and all know each other again afterwards.
 #[test]
 fn those_cut_off_come_back() {
     let mut world = World::new(60, 0.05);
