--- a/crates/core/tests/incarnations.rs
+++ b/crates/core/tests/incarnations.rs
@@ -1,7 +1,7 @@
-//! Servers that start again under their names: every order of words about two starts of one server.
+//! Servers that restart under their names, with every order of events about two incarnations.
 //!
-//! The roster is compared with a naive version that keeps the whole history and reads the present state
-//! from it, each time anew.
+//! The roster is compared with a naive model that derives the state from the whole history each
+//! time.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails must panic")]
 
@@ -26,50 +26,50 @@
 const LATER: Option<StartTime> = Some(StartTime(9_000));
 const HELD: Range = Range { start: 0, end: 8 };
 
-fn start(born: Option<StartTime>) -> Incarnation {
-    Incarnation::new("a".into(), born)
+fn incarnation(started_at: Option<StartTime>) -> Incarnation {
+    Incarnation::new("a".into(), started_at)
 }
 
-fn server(born: Option<StartTime>, state: State) -> Server {
-    let held = if born == EARLIER {
+fn server(started_at: Option<StartTime>, state: State) -> Server {
+    let held = if started_at == EARLIER {
         HELD
     } else {
         Range::default()
     };
     Server {
         held,
-        ..registry::server(start(born), state)
+        ..registry::server(incarnation(started_at), state)
     }
 }
 
-/// One word about the server.
+/// An event about the server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Word {
+enum Event {
     /// Its registration.
     Registered(Option<StartTime>, State),
     /// Its registration cannot be read.
     Unreadable,
     /// Its registration was removed.
     Removed,
-    /// It says itself what it holds.
+    /// The layers that the server itself reports.
     Reported(Option<StartTime>, Range),
-    /// The store falls silent.
-    Lost,
-    /// The store answers again, long enough for every grace to end.
-    Back,
+    /// The store becomes unavailable.
+    Unavailable,
+    /// The store is available again, for long enough that every grace period ends.
+    Available,
 }
 
-fn hear(roster: &mut Roster, now: Instant, word: Word) -> Effect {
-    match word {
-        Word::Registered(born, state) => roster.seen(now, server(born, state)),
-        Word::Unreadable => roster.unreadable(&"a".into()),
-        Word::Removed => roster.removed(now, &"a".into()),
-        Word::Reported(born, held) => roster.reported(now, &start(born), held),
-        Word::Lost => {
+fn apply(roster: &mut Roster, now: Instant, event: Event) -> Effect {
+    match event {
+        Event::Registered(started_at, state) => roster.seen(now, server(started_at, state)),
+        Event::Unreadable => roster.unreadable(&"a".into()),
+        Event::Removed => roster.removed(now, &"a".into()),
+        Event::Reported(started_at, held) => roster.reported(now, &incarnation(started_at), held),
+        Event::Unavailable => {
             roster.store_lost();
             Effect::None
         }
-        Word::Back => {
+        Event::Available => {
             roster.store_returned(now);
             roster.expire(now.plus(Span(10_000)));
             Effect::None
@@ -77,119 +77,120 @@
     }
 }
 
-/// What the naive version knows.
+/// The state in the naive model.
 #[derive(Clone, Debug, PartialEq)]
 struct Known {
-    born: Option<StartTime>,
+    started_at: Option<StartTime>,
     state: State,
     held: Range,
-    lapsing: bool,
+    is_lapsing: bool,
 }
 
-/// Reads the present state from all words so far.
-fn naive(words: &[Word]) -> Option<Known> {
+/// Derives the state from all events so far.
+fn naive(events: &[Event]) -> Option<Known> {
     let mut known: Option<Known> = None;
     let mut is_away = false;
-    for word in words {
-        match *word {
-            Word::Registered(born, state) => {
-                let told = born.or(known.as_ref().and_then(|known| known.born));
-                let held = server(born, state).held;
+    for event in events {
+        match *event {
+            Event::Registered(started_at, state) => {
+                let reported_start =
+                    started_at.or(known.as_ref().and_then(|known| known.started_at));
+                let held = server(started_at, state).held;
                 known = Some(Known {
-                    born: told,
+                    started_at: reported_start,
                     state,
                     held,
-                    lapsing: false,
+                    is_lapsing: false,
                 });
             }
-            Word::Unreadable => {
+            Event::Unreadable => {
                 if let Some(known) = &mut known {
                     known.state = State::Unreadable;
-                    known.lapsing = false;
+                    known.is_lapsing = false;
                 }
             }
-            Word::Removed => match &mut known {
-                Some(known) if is_away && known.state == State::Ready => known.lapsing = true,
+            Event::Removed => match &mut known {
+                Some(known) if is_away && known.state == State::Ready => known.is_lapsing = true,
                 _ => known = None,
             },
-            Word::Reported(born, held) if is_away => match &mut known {
-                Some(known) if known.born == born => known.held = held,
+            Event::Reported(started_at, held) if is_away => match &mut known {
+                Some(known) if known.started_at == started_at => known.held = held,
                 Some(known)
-                    if known.state == State::Ready && known.born.is_some() && born > known.born =>
+                    if known.state == State::Ready
+                        && known.started_at.is_some()
+                        && started_at > known.started_at =>
                 {
                     *known = Known {
-                        born,
+                        started_at,
                         state: State::Ready,
                         held,
-                        lapsing: false,
+                        is_lapsing: false,
                     };
                 }
                 _ => {}
             },
-            Word::Reported(..) => {}
-            Word::Lost => is_away = true,
-            Word::Back => {
+            Event::Reported(..) => {}
+            Event::Unavailable => is_away = true,
+            Event::Available => {
                 is_away = false;
-                known = known.filter(|known| !known.lapsing);
+                known = known.filter(|known| !known.is_lapsing);
             }
         }
     }
     known
 }
 
-fn words() -> impl Strategy<Value = Word> {
-    let born = prop_oneof![Just(EARLIER), Just(LATER), Just(None)];
+fn events() -> impl Strategy<Value = Event> {
+    let started_at = prop_oneof![Just(EARLIER), Just(LATER), Just(None)];
     let state = prop_oneof![Just(State::Ready), Just(State::Draining)];
     let held = prop_oneof![Just(HELD), Just(Range::new(4, 6))];
     prop_oneof![
-        3 => (born.clone(), state).prop_map(|(born, state)| Word::Registered(born, state)),
-        1 => Just(Word::Unreadable),
-        1 => Just(Word::Removed),
-        2 => (born, held).prop_map(|(born, held)| Word::Reported(born, held)),
-        1 => Just(Word::Lost),
-        1 => Just(Word::Back),
+        3 => (started_at.clone(), state).prop_map(|(started_at, state)| Event::Registered(started_at, state)),
+        1 => Just(Event::Unreadable),
+        1 => Just(Event::Removed),
+        2 => (started_at, held).prop_map(|(started_at, held)| Event::Reported(started_at, held)),
+        1 => Just(Event::Unavailable),
+        1 => Just(Event::Available),
     ]
 }
 
 proptest! {
-    /// Whatever is said of two starts in whatever order, the roster knows what the words add up to.
+    /// The roster agrees with the naive model after every order of events about two incarnations.
     #[test]
-    fn every_order_of_words_ends_as_in_the_naive_version(words in prop::collection::vec(words(), 0..12)) {
+    fn every_order_of_words_ends_as_in_the_naive_version(events in prop::collection::vec(events(), 0..12)) {
         let mut roster = Roster::default();
         let mut present = None;
-        for (count, word) in words.iter().enumerate() {
-            // Words are far apart, so that no outage echoes in a later one.
+        for (count, event) in events.iter().enumerate() {
+            // Events are far apart, so that an outage does not affect later ones.
             let now = Instant(count as u64 * 100_000);
-            hear(&mut roster, now, *word);
-            let known = naive(&words[..=count]);
-            let member = known.as_ref().and_then(|known| roster.get(&start(known.born)));
+            apply(&mut roster, now, *event);
+            let known = naive(&events[..=count]);
+            let member = known.as_ref().and_then(|known| roster.get(&incarnation(known.started_at)));
             prop_assert_eq!(member.is_some(), known.is_some());
             if let (Some(member), Some(known)) = (member, &known) {
                 prop_assert_eq!(member.state, known.state);
                 prop_assert_eq!(member.held, known.held);
             }
-            // Each start that was replaced is told once, and only then.
-            let born = known.as_ref().map(|known| known.born);
-            let replaced = match (present, born) {
-                (Some(before), Some(after)) if before != after => vec![start(before)],
+            // Each replaced incarnation is returned exactly once.
+            let started_at = known.as_ref().map(|known| known.started_at);
+            let replaced = match (present, started_at) {
+                (Some(before), Some(after)) if before != after => vec![incarnation(before)],
                 _ => Vec::new(),
             };
             prop_assert_eq!(roster.take_replaced(), replaced);
-            present = born;
+            present = started_at;
         }
     }
 }
 
-/// What was remembered of the earlier start does not follow the server into the later one.
-///
-/// A server that was suspected, failing, slow, refusing and full of requests crashes and starts again
-/// under its name. It is empty and well, and gets work like any new server.
+/// Guards against applying state of an earlier incarnation to a later one: a server that was
+/// suspected, failing, slow, refusing and loaded restarts, and gets work like a new server.
 #[test]
 fn a_later_start_begins_without_a_record() {
     let mut load = Load::default();
     let mut suspicion = Suspicion::default();
     let mut outliers = Outliers::default();
-    let (now, earlier, later) = (Instant(0), start(EARLIER), start(LATER));
+    let (now, earlier, later) = (Instant(0), incarnation(EARLIER), incarnation(LATER));
     load.start_request(&earlier, 50_000.0);
     load.record_slowness(now, &earlier, 5.0);
     load.refusals.refused(now, &earlier);
@@ -208,11 +209,11 @@
     assert!(!outliers.contains(&later));
     assert!(
         outliers.contains(&earlier),
-        "the record is the earlier start's"
+        "the record is the earlier incarnation's"
     );
 }
 
-/// A server whose clock was set back is a new start all the same.
+/// A server whose clock was set back is a new incarnation as well.
 #[test]
 fn a_start_that_looks_earlier_is_a_start() {
     let mut roster = Roster::default();
@@ -221,7 +222,10 @@
     let effect = roster.seen(Instant(5_000), server(EARLIER, State::Ready));
 
     assert_eq!(effect, Effect::Restarted);
-    assert!(roster.has_restarted(&start(LATER)));
-    assert_eq!(roster.age(Instant(5_500), &start(EARLIER)), Some(Span(500)));
-    assert_eq!(roster.age(Instant(5_500), &start(LATER)), None);
+    assert!(roster.has_restarted(&incarnation(LATER)));
+    assert_eq!(
+        roster.age(Instant(5_500), &incarnation(EARLIER)),
+        Some(Span(500))
+    );
+    assert_eq!(roster.age(Instant(5_500), &incarnation(LATER)), None);
 }
