--- a/crates/core/tests/outage.rs
+++ b/crates/core/tests/outage.rs
@@ -1,8 +1,8 @@
-//! Servers and planners that leave while the store is away.
+//! Servers and planners that leave while the store is unavailable.
 //!
-//! The load: the store falls silent for some eight seconds, in which an eighth of the servers leaves, one
-//! dies, and the entry that is the planner stops or is killed. Whatever layers only the leavers held are
-//! missing until somebody orders others to hold them, and requests are turned away meanwhile.
+//! The load: the store is unavailable for about eight seconds, in which an eighth of the servers
+//! leaves, one dies, and the planner stops or is killed. Layers that only these servers held are
+//! missing until other servers are ordered to load them, and requests are refused meanwhile.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails must panic")]
 
@@ -19,17 +19,17 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// How often an entry tells the others, in milliseconds.
-const TELL: u64 = 150;
+/// How often an entry reports to the others, in milliseconds.
+const REPORT_INTERVAL: u64 = 150;
 
 fn entry(number: usize) -> SocketAddr {
     ([10, 0, 0, number as u8], 7340).into()
 }
 
-/// Entries that tell one another whether they are the planner, or stand in for it.
+/// Entries that report to each other whether they are planner or deputy.
 struct World {
     now: Instant,
-    sights: Vec<Election>,
+    elections: Vec<Election>,
     alive: BTreeSet<usize>,
     planners: BTreeSet<usize>,
 }
@@ -38,29 +38,29 @@
     fn new(entries: usize, planner: usize) -> Self {
         Self {
             now: Instant(0),
-            sights: vec![Election::default(); entries],
+            elections: vec![Election::default(); entries],
             alive: (0..entries).collect(),
             planners: [planner].into(),
         }
     }
 
-    /// One round in which each entry tells the others; a share of the words is lost.
-    fn round(&mut self, lost: f64, random: &mut StdRng) {
-        self.now = self.now.plus(Span(TELL));
-        for teller in &self.alive {
-            let token = self.planners.contains(teller).then_some(Token(4));
-            for hearer in self.alive.iter().filter(|hearer| *hearer != teller) {
-                if !random.random_bool(lost) {
-                    self.sights[*hearer].heard(self.now, entry(*teller), token);
+    /// One round of reports, of which the share `lost` does not arrive.
+    fn round(&mut self, loss: f64, random: &mut StdRng) {
+        self.now = self.now.plus(Span(REPORT_INTERVAL));
+        for sender in &self.alive {
+            let token = self.planners.contains(sender).then_some(Token(4));
+            for receiver in self.alive.iter().filter(|receiver| *receiver != sender) {
+                if !random.random_bool(loss) {
+                    self.elections[*receiver].heard(self.now, entry(*sender), token);
                 }
             }
         }
         for own in self.alive.clone() {
             let others = self.alive.iter().filter(|other| **other != own);
             let others = others.map(|other| entry(*other));
-            if self.sights[own].planner(self.now).is_some() {
+            if self.elections[own].planner(self.now).is_some() {
                 self.planners.remove(&own);
-            } else if self.sights[own]
+            } else if self.elections[own]
                 .deputy_token(self.now, entry(own), others)
                 .is_some()
             {
@@ -70,10 +70,8 @@
     }
 }
 
-/// One entry stands in for a planner that is killed, and another one for that deputy.
-///
-/// Nobody says that the planner is gone: it is not heard any more. With a twentieth of the words lost the
-/// entries agree on one deputy, since the one with the lowest address begins and the others hear it.
+/// A killed planner is replaced by one deputy, and a killed deputy by another. With a message loss
+/// of 5 % the entries agree on the lowest address.
 #[test]
 fn one_entry_at_a_time_stands_in() {
     for seed in 0..200 {
@@ -87,7 +85,7 @@
         for dead in [3, 0] {
             world.alive.remove(&dead);
             world.planners.remove(&dead);
-            for _ in 0..2 * PLANNER_TIMEOUT.0 / TELL {
+            for _ in 0..2 * PLANNER_TIMEOUT.0 / REPORT_INTERVAL {
                 world.round(0.05, &mut random);
             }
             let first = *world.alive.first().unwrap();
@@ -96,7 +94,7 @@
     }
 }
 
-/// A planner that resigns is followed at once.
+/// A planner that resigns is replaced without a timeout.
 #[test]
 fn a_planner_that_resigns_is_not_waited_for() {
     let mut election = Election::default();
@@ -116,7 +114,7 @@
     );
 }
 
-/// Nobody stands in under a number that was never heard, or an old one.
+/// Guards against orders under an unknown or outdated token.
 #[test]
 fn a_deputy_orders_under_the_highest_number_that_was_heard() {
     let mut election = Election::default();
@@ -136,10 +134,8 @@
     );
 }
 
-/// A deputy that was refused does not begin again under the same number.
-///
-/// An entry that the store serves and that nobody hears was made planner, and servers know its number. The
-/// deputy's order is refused; it gives no more until it hears of a number that was not refused.
+/// Guards against a deputy that repeats orders under a refused token: an entry that reaches the
+/// store but no other entry became planner, and servers know its token.
 #[test]
 fn a_deputy_that_was_refused_does_not_begin_again() {
     let mut election = Election::default();
@@ -155,7 +151,7 @@
     assert_eq!(election.deputy_token(gone, entry(0), []), Some(Token(5)));
 }
 
-/// A refusal long ago does not make a server a leaver.
+/// Guards against treating a server as leaving because of old refusals.
 #[test]
 fn an_old_refusal_makes_no_leaver() {
     let server = "a".into();
@@ -168,10 +164,8 @@
     assert!(!refusals.is_leaving(Instant(9_000), &server));
 }
 
-/// A server that leaves is told from one that is full.
-///
-/// Both refuse. A full one takes a request whenever another ends, every two hundred milliseconds or so;
-/// one that leaves never does, and stops being counted on after a second and a half.
+/// A leaving server is distinguished from a full one, although both refuse. A full server accepts a
+/// request whenever another one ends, about every 200 ms; a leaving one never does.
 #[test]
 fn a_leaver_is_told_from_a_full_server_by_its_refusals() {
     let (full, leaver) = ("full".into(), "leaver".into());
@@ -196,7 +190,7 @@
     assert!(noticed.unwrap() <= Instant(1_600), "at {noticed:?}");
 }
 
-/// Another entry's word that a server leaves counts as long as that entry believes it.
+/// Another entry's report that a server is leaving counts for as long as that entry assumes so.
 #[test]
 fn a_leaver_is_known_to_all_entries() {
     let mut refusals = Refusals::default();
