--- a/crates/core/tests/outlier.rs
+++ b/crates/core/tests/outlier.rs
@@ -1,8 +1,7 @@
-//! Servers that fail a part of their requests while they say that they are well.
+//! Servers that fail part of their requests while they report to be healthy.
 //!
-//! The pattern of load: twenty entries send three servers of a plain service some requests a second
-//! each. One server fails 45 in 100, the others 5 in 100: the users' figures for servers that fail by
-//! themselves, and for requests that fail wherever they run.
+//! The load: twenty entries send three servers of a plain service some requests a second each. One
+//! server fails 45 %, the others 5 %.
 
 use jujube_core::pipeline::outlier::Outliers;
 use jujube_core::pipeline::server::Incarnation;
@@ -13,10 +12,10 @@
 use rand::rngs::StdRng;
 
 const ENTRIES: usize = 20;
-/// The pause between two requests of all entries, in milliseconds.
-const PAUSE: u64 = 30;
-/// How often entries tell one another, in milliseconds.
-const TELL: u64 = 300;
+/// The interval between two requests over all entries, in milliseconds.
+const REQUEST_INTERVAL: u64 = 30;
+/// How often entries report to each other, in milliseconds.
+const REPORT_INTERVAL: u64 = 300;
 
 fn servers() -> [Incarnation; 3] {
     ["sound-1", "sound-2", "failing"].map(Into::into)
@@ -31,15 +30,19 @@
     draw < share
 }
 
-fn tell(now: Instant, entries: &mut [Outliers]) {
-    let told: Vec<Vec<_>> = entries
+fn exchange_reports(now: Instant, entries: &mut [Outliers]) {
+    let reports: Vec<Vec<_>> = entries
         .iter()
         .map(|entry| entry.own(now).map(|(name, tally)| (name.clone(), tally)))
         .map(Iterator::collect)
         .collect();
     for (index, entry) in entries.iter_mut().enumerate() {
         let mut sum = Summary::default();
-        for (_, tallies) in told.iter().enumerate().filter(|(other, _)| *other != index) {
+        for (_, tallies) in reports
+            .iter()
+            .enumerate()
+            .filter(|(other, _)| *other != index)
+        {
             let ended = tallies.iter().cloned().collect();
             sum.merge(&Summary {
                 outcomes: ended,
@@ -51,18 +54,18 @@
     }
 }
 
-/// Plays a number of seconds; returns how many requests failed.
+/// Simulates a number of seconds; returns the number of failed requests.
 ///
-/// Each request goes to a random server of those that are not avoided.
-fn play(seconds: u64, speaks: bool) -> u64 {
+/// Each request goes to a random server among those that are not avoided.
+fn simulate(seconds: u64, shares_reports: bool) -> u64 {
     let mut draws = StdRng::seed_from_u64(11);
     let mut entries = vec![Outliers::default(); ENTRIES];
     let servers = servers();
     let mut failed = 0;
-    for step in 0..seconds * 1_000 / PAUSE {
-        let now = Instant(step * PAUSE);
-        if speaks && now.0 % TELL == 0 {
-            tell(now, &mut entries);
+    for step in 0..seconds * 1_000 / REQUEST_INTERVAL {
+        let now = Instant(step * REQUEST_INTERVAL);
+        if shares_reports && now.0 % REPORT_INTERVAL == 0 {
+            exchange_reports(now, &mut entries);
         }
         let entry = &mut entries[draws.random_range(0..ENTRIES)];
         let usable: Vec<&Incarnation> = servers.iter().filter(|s| !entry.contains(s)).collect();
@@ -77,22 +80,21 @@
     failed
 }
 
-/// Callers see less than half as many failures as when nobody is avoided.
-///
-/// A single entry sends the failing server one request in two seconds and would notice after ten.
+/// Sharing outcomes more than halves the failures. A single entry sends the failing server one
+/// request every two seconds, and would notice only after ten.
 #[test]
 fn entries_notice_a_failing_server_together() {
-    let silent = play(20, false);
+    let unshared = simulate(20, false);
 
-    let told = play(20, true);
+    let shared = simulate(20, true);
 
     assert!(
-        told * 2 < silent,
-        "{told} failed, {silent} when nobody is avoided"
+        shared * 2 < unshared,
+        "{shared} failed, {unshared} when no server is avoided"
     );
 }
 
-/// No server is avoided because a few requests failed that fail wherever they run.
+/// Guards against avoiding a server because of failures that are common to all servers.
 #[test]
 fn usual_failures_condemn_nobody() {
     let mut draws = StdRng::seed_from_u64(3);
@@ -101,7 +103,7 @@
     let mut avoided = 0;
 
     for step in 0..2_000 {
-        let now = Instant(step * PAUSE);
+        let now = Instant(step * REQUEST_INTERVAL);
         if draws.random::<f64>() < 0.05 {
             outliers.failed(now, &server);
         } else {
@@ -113,7 +115,7 @@
     assert_eq!(avoided, 0);
 }
 
-/// A server that works again is used again.
+/// A server that recovered is used again.
 #[test]
 fn an_outlier_is_tried_again() {
     let mut outliers = Outliers::default();
