--- a/crates/core/tests/relay.rs
+++ b/crates/core/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay of events against a plain copy, under every cut of the byte stream.
+//! Compares the relay of events with the original stream, for every cut of the bytes.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails must panic")]
 
@@ -15,15 +15,13 @@
     range.map(event).collect()
 }
 
-fn joined(out: &[Bytes]) -> String {
+fn concatenated(out: &[Bytes]) -> String {
     let bytes: Vec<u8> = out.iter().flatten().copied().collect();
     String::from_utf8(bytes).unwrap()
 }
 
-/// The caller reads one whole stream.
-///
-/// The first engine breaks off at any byte; the second starts after the last whole event, or some
-/// events earlier. No event is torn, missing or doubled, wherever the cut falls.
+/// Guards against truncated, missing and duplicate events. The first engine breaks off at any byte;
+/// the second one continues after the last complete event, or some events earlier.
 #[test]
 fn every_cut_is_carried_on_without_a_seam() {
     let whole = events(1..=6);
@@ -42,7 +40,7 @@
             let rest = events(last + 1 - back.min(last)..=6);
             relay.feed(Bytes::from(rest), &mut out).unwrap();
 
-            assert_eq!(joined(&out), whole, "cut at {cut}, repeated {back}");
+            assert_eq!(concatenated(&out), whole, "cut at {cut}, repeated {back}");
             assert_eq!(relay.end(), Ok(()));
         }
     }
@@ -56,7 +54,7 @@
     let outcome = relay.feed(Bytes::from(event(1) + &event(3)), &mut out);
 
     assert_eq!(outcome, Err(Fault::MissingEvent));
-    assert_eq!(joined(&out), event(1));
+    assert_eq!(concatenated(&out), event(1));
 }
 
 #[test]
@@ -67,7 +65,7 @@
     let outcome = relay.feed(Bytes::from(event(4) + &event(5) + &event(5)), &mut out);
 
     assert_eq!(outcome, Err(Fault::OutOfOrder));
-    assert_eq!(joined(&out), event(4) + &event(5));
+    assert_eq!(concatenated(&out), event(4) + &event(5));
 }
 
 #[test]
@@ -79,7 +77,7 @@
         .feed(Bytes::from(event(12) + &event(13)), &mut out)
         .unwrap();
 
-    assert_eq!(joined(&out), event(13));
+    assert_eq!(concatenated(&out), event(13));
 }
 
 #[test]
@@ -120,7 +118,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// However a stream is divided into chunks, what goes out is what came in.
+    /// The output does not depend on how a stream is divided into chunks.
     #[test]
     fn chunks_do_not_matter(count in 1_u64..20, sizes in proptest::collection::vec(1_usize..40, 1..60)) {
         let whole = events(1..=count);
@@ -133,11 +131,11 @@
             relay.feed(Bytes::copy_from_slice(&rest[..size]), &mut out).unwrap();
             rest = &rest[size..];
         }
-        prop_assert_eq!(joined(&out), whole);
+        prop_assert_eq!(concatenated(&out), whole);
         prop_assert_eq!(relay.events(), count);
     }
 
-    /// Whatever an engine sends, the relay neither fails nor passes on what is no event.
+    /// Any input leads to a result, and no output without an event.
     #[test]
     fn garbage_is_survived(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut relay = Relay::default();
