--- a/crates/core/tests/restore.rs
+++ b/crates/core/tests/restore.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy.
+//! A store that is restored from an older copy.
 
 #[path = "support/registry.rs"]
 mod registry;
@@ -19,7 +19,7 @@
 use jujube_core::time::Span;
 use registry::server;
 
-const RISE: Instant = Instant(20_000);
+const RESTORED_AT: Instant = Instant(20_000);
 
 fn usable(roster: &Roster) -> Vec<String> {
     let usable = roster.usable();
@@ -28,37 +28,38 @@
         .collect()
 }
 
-/// A leaver would get new work: the copy is from before it said that it drains, and shows it ready.
+/// Guards against new work for a draining server that the copy lists as ready.
 #[test]
 fn a_server_that_drains_gets_nothing_new_although_the_store_forgot_it() {
     let mut roster = Roster::default();
     roster.seen(Instant(0), server("a", State::Ready));
     roster.seen(Instant(19_000), server("a", State::Draining));
 
-    roster.restored(RISE);
-    roster.replace(RISE, vec![server("a", State::Ready)], &[]);
+    roster.restored(RESTORED_AT);
+    roster.replace(RESTORED_AT, vec![server("a", State::Ready)], &[]);
 
     assert!(usable(&roster).is_empty());
-    let written = RISE.plus(STALE_COPY_WINDOW);
+    let written = RESTORED_AT.plus(STALE_COPY_WINDOW);
     roster.seen(written, server("a", State::Ready));
     assert_eq!(usable(&roster), ["a"], "what it writes later counts");
 }
 
-/// The same of one that has left: the copy still lists it.
+/// Guards against new work for a departed server that the copy still lists.
 #[test]
 fn a_server_that_has_left_gets_nothing_new_although_the_store_lists_it() {
     let mut roster = Roster::default();
     roster.seen(Instant(0), server("a", State::Draining));
     roster.removed(Instant(19_000), &"a".into());
 
-    roster.restored(RISE);
-    let effects = roster.replace(RISE, vec![server("a", State::Ready)], &[]);
+    roster.restored(RESTORED_AT);
+    let effects = roster.replace(RESTORED_AT, vec![server("a", State::Ready)], &[]);
 
     assert!(effects.is_empty());
     assert!(usable(&roster).is_empty());
 }
 
-/// Servers that joined since the copy was made are missing in it; they live, and write again within two seconds.
+/// Servers that joined after the copy was made are missing from it; live ones register again within
+/// two seconds.
 #[test]
 fn a_server_that_the_store_forgot_counts_until_it_had_time_to_write_again() {
     let mut roster = Roster::default();
@@ -66,19 +67,20 @@
         roster.seen(Instant(19_000), server(id, State::Ready));
     }
 
-    roster.restored(RISE);
-    roster.replace(RISE, Vec::new(), &[]);
+    roster.restored(RESTORED_AT);
+    roster.replace(RESTORED_AT, Vec::new(), &[]);
     assert_eq!(usable(&roster).len(), 2);
     assert_eq!(
-        roster.seen(RISE.plus(Span(900)), server("writes", State::Ready)),
+        roster.seen(RESTORED_AT.plus(Span(900)), server("writes", State::Ready)),
         Effect::Changed
     );
-    roster.expire(RISE.plus(LAPSE_GRACE));
+    roster.expire(RESTORED_AT.plus(LAPSE_GRACE));
 
     assert_eq!(usable(&roster), ["writes"]);
 }
 
-/// The budget of retries would be passed: the store forgot a piece and its lease, and gives it to another entry.
+/// Guards against exceeding the retry budget: the store has lost a piece and its lease, and grants
+/// the piece to another entry.
 #[test]
 fn pieces_of_an_earlier_era_are_given_up_and_new_ones_wait_until_they_matter_no_more() {
     let service = "writer".into();
@@ -101,7 +103,8 @@
     assert_eq!(reserve.share(Instant(1_000), &service, 64.0), 2.0);
 }
 
-/// Lists of the store would be ignored for good: their revisions are smaller than those known before.
+/// Guards against ignoring all lists of a restored store, whose revisions are smaller than the
+/// known ones.
 #[test]
 fn a_list_of_a_later_era_counts_although_its_revision_is_smaller() {
     let service = "writer".into();
