--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget of a service over all entries, whoever starts, dies, or knows what.
+//! The retry budget of a service over all entries, under restarts, failures and partitions.
 
 #![allow(clippy::unwrap_used, reason = "a fixture that fails must panic")]
 
@@ -33,13 +33,14 @@
         ..ProptestConfig::default()
     })]
 
-    /// A failing service never gets more than it allows, in no window, with nothing added for good measure.
+    /// A failing service never receives more retries than its policy allows, in any window and
+    /// without tolerance.
     ///
-    /// All its servers fail all the time, so each entry sends every retry that it allows itself. Meanwhile
-    /// entries start again, alone or all at once, are added and removed, freeze, and are cut off from the store;
-    /// the store goes away, with leases that run on or stand still, loses answers, carries writes out late, and comes
-    /// back from copies that are up to ten seconds old;
-    /// requests come unevenly and in bursts. What each has sent is in its memory only.
+    /// All its servers fail all the time, so each entry sends every retry that it may. Entries
+    /// restart, join, leave, freeze and are partitioned from the store. The store becomes
+    /// unavailable, with leases that expire or stand still, loses responses, applies writes late,
+    /// and is restored from copies up to ten seconds old. Requests arrive unevenly and in bursts.
+    /// Each entry knows only its own retries.
     #[test]
     fn no_window_gets_more_retries_than_a_service_allows(
         loads in proptest::collection::vec(prop_oneof![Just(0.0), 0.0..6.0], 1..9),
@@ -51,7 +52,8 @@
         is_calm: bool,
         seed: u64,
     ) {
-        // Requests that pay for more than is sent would hide a part that is too large.
+        // A high load would hide a share that is too large, because requests earn more retries than
+        // are sent.
         let loads: Vec<f64> = loads.iter().map(|load| if is_calm { 0.0 } else { *load }).collect();
         let mut day = play(&loads, &troubles, BEGIN + fails_from, seed);
 
@@ -59,10 +61,8 @@
     }
 }
 
-/// The retries of a calm service are there when its servers begin to fail: the whole slack, for those who need it.
-///
-/// One entry of a hundred has all streams of a server that dies. Equal parts gave it a hundredth of the slack,
-/// whatever the others needed.
+/// Guards against equal shares of the slack: one entry of a hundred has all streams of a server
+/// that dies, and needs the whole slack.
 #[test]
 fn those_who_need_the_slack_get_it() {
     let fails_from = BEGIN + 20_000;
@@ -75,7 +75,7 @@
     assert_eq!(day.broken(), None);
 }
 
-/// Few entries hold the whole slack between them when all need it.
+/// Few entries use the whole slack together if all need it.
 #[test]
 fn few_entries_have_the_whole_slack_between_them() {
     let fails_from = BEGIN + 20_000;
@@ -88,20 +88,20 @@
     assert_eq!(day.broken(), None);
 }
 
-fn holder(tenure: u64) -> Reserve {
+fn holder(lease: u64) -> Reserve {
     let mut reserve = Reserve::new(LEASE, TERMS.reach());
-    reserve.begun(LeaseId(tenure), Instant(0));
+    reserve.begun(LeaseId(lease), Instant(0));
     reserve
 }
 
-fn record(tenure: u64, revision: u64) -> Record {
+fn record(lease: u64, revision: u64) -> Record {
     Record {
-        tenure: LeaseId(tenure),
+        tenure: LeaseId(lease),
         revision: Revision(revision),
     }
 }
 
-/// Nobody's streams use a piece whose lease may end before what is sent for it is out of every window.
+/// Guards against using a piece whose lease may expire before its retries have left every window.
 #[test]
 fn pieces_are_worth_nothing_once_the_lease_is_not_renewed() {
     let mut reserve = holder(1);
@@ -115,7 +115,7 @@
     assert!(reserve.share(Instant(trusted), &service(), 64.0) > 0.0);
 }
 
-/// Pieces go with the lease under which they were taken, also when the answer comes after its end.
+/// Pieces expire with the lease under which they were taken, even if the response arrives later.
 #[test]
 fn pieces_of_an_earlier_lease_do_not_count() {
     let mut reserve = holder(1);
@@ -127,7 +127,7 @@
     assert_eq!(reserve.held(&service()), 0);
 }
 
-/// A piece whose answer was lost is used all the same once the store tells of it; one that is given back is not.
+/// A piece whose response was lost is used once the store reports it; a returned piece is not used.
 #[test]
 fn the_store_tells_which_pieces_are_held() {
     let mut reserve = holder(1);
@@ -152,7 +152,7 @@
     assert!(reserve.free(&service()).contains(&Piece(4)));
 }
 
-/// An old read of the store takes nothing back that is known since.
+/// Guards against an outdated read of the store that removes newer pieces.
 #[test]
 fn an_old_read_changes_nothing() {
     let mut reserve = holder(1);
@@ -164,7 +164,7 @@
     assert_eq!(reserve.held(&service()), 1);
 }
 
-/// What entries hold in calm leaves half of the slack for those who will need it, however many they are.
+/// Idle entries leave half of the slack for those that need it, for any number of entries.
 #[test]
 fn what_is_held_at_rest_is_at_most_half() {
     for entries in 1..1_000 {
@@ -174,26 +174,27 @@
     }
 }
 
-/// A retry that was taken and not sent is there for another request.
+/// A retry that was taken and not sent is available to another request.
 #[test]
 fn a_retry_that_is_given_back_can_be_taken_again() {
-    let mut allowance = Budget::default();
-    assert!(allowance.take(Instant(5), &TERMS, 1.0));
-    assert!(!allowance.take(Instant(6), &TERMS, 1.0));
+    let mut budget = Budget::default();
+    assert!(budget.take(Instant(5), &TERMS, 1.0));
+    assert!(!budget.take(Instant(6), &TERMS, 1.0));
 
-    allowance.give_back(Instant(5));
+    budget.give_back(Instant(5));
 
-    assert!(allowance.take(Instant(6), &TERMS, 1.0));
+    assert!(budget.take(Instant(6), &TERMS, 1.0));
 }
 
-/// What requests pay for is the same in a calm minute and after a start: about the ratio of both.
+/// Requests earn about the same ratio of retries after a start as under steady load, without any
+/// slack.
 #[test]
 fn requests_pay_for_retries_without_any_slack() {
-    let mut allowance = Budget::default();
+    let mut budget = Budget::default();
     let mut taken = 0;
     for now in (0..60_000).step_by(10) {
-        allowance.request(Instant(now), &TERMS);
-        taken += u64::from(allowance.take(Instant(now), &TERMS, 0.0));
+        budget.request(Instant(now), &TERMS);
+        taken += u64::from(budget.take(Instant(now), &TERMS, 0.0));
     }
     let share = taken as f64 / 6_000.0;
     assert!((0.12..0.2).contains(&share), "{share}");
