--- a/crates/core/tests/returns.rs
+++ b/crates/core/tests/returns.rs
@@ -1,8 +1,9 @@
-//! How soon a whole path stands again, from any state and without further trouble.
+//! The time until a complete path is available again, from any state and without further failures.
 //!
-//! The pattern of load: servers of two availability zones run requests of up to 20 seconds, some of which nobody reads any
-//! more. Whoever gives up layers carries none of them at once and has its new ones when what passes has passed, or at
-//! once where that is broken off; loads share a rate. Registrations lag, and a planner may start knowing nothing.
+//! The load: servers of two availability zones run requests of up to 20 seconds, some without a
+//! reader. A server that gives up layers stops carrying them at once, and loads new ones when its
+//! current requests have passed or are aborted; loads share a rate. Registrations lag, and a
+//! planner may start without state.
 
 #[path = "support/pipeline.rs"]
 mod pipeline;
@@ -17,13 +18,14 @@
 use servers::STEP_MS;
 use servers::Site;
 
-/// Days in CI.
+/// The number of simulated days in CI.
 const DAYS: u64 = 200;
-/// How long a model takes to load in all, in seconds, where weights are near and where they are read from afar.
+/// The time to load the whole model in seconds, from near and from far storage.
 const NEAR_SECONDS: f64 = 0.3;
 const FAR_SECONDS: f64 = 14.0;
 
-/// Plays a day from a random state; returns after how many milliseconds requests can pass through the whole model.
+/// Simulates a day from a random state; returns after how many milliseconds a complete path is
+/// available.
 fn play(seed: u64, load_seconds: f64) -> (Site, Option<u64>) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut site = Site::draw(&mut random, load_seconds);
@@ -52,19 +54,20 @@
     }
 }
 
-/// Guards against a service that stays away for as long as requests run that nobody reads.
+/// Guards against an outage of a service for as long as requests without a reader run.
 #[test]
 fn a_whole_path_stands_soon_where_loads_are_quick() {
     returns_within_the_bound(NEAR_SECONDS);
 }
 
-/// The same where loading takes longer than anything else, and many servers load at a time.
+/// Guards against a longer outage where loading takes longer than anything else, and many servers
+/// load at the same time.
 #[test]
 fn a_whole_path_stands_when_all_memory_is_loaded_twice() {
     returns_within_the_bound(FAR_SECONDS);
 }
 
-/// Guards against streams that an order breaks off although callers have a path.
+/// Guards against orders that abort streams while a complete path is available.
 #[test]
 fn no_request_is_broken_off_while_a_path_stands() {
     for seed in 0..DAYS {
