--- a/crates/core/src/pipeline/outlier.rs
+++ b/crates/core/src/pipeline/outlier.rs
@@ -1,4 +1,4 @@
-//! Detects backend servers that fail outcome requests than others, although they report to be
+//! Detects backend servers that fail more requests than others, although they report to be
 //! healthy.
 
 use std::collections::BTreeMap;
--- a/crates/core/src/pipeline/relay.rs
+++ b/crates/core/src/pipeline/relay.rs
@@ -16,10 +16,10 @@
     #[error("events are out of order")]
     OutOfOrder,
     /// An event has no readable identifier.
-    #[error("an event without an identifier")]
+    #[error("an event has no readable identifier")]
     NoIdentifier,
     /// An event exceeds the maximum size.
-    #[error("an event without an end")]
+    #[error("an event exceeds the maximum size")]
     TooLarge,
     /// The stream ended inside an event.
     #[error("the stream ended inside an event")]
--- a/crates/core/src/pipeline/reserve.rs
+++ b/crates/core/src/pipeline/reserve.rs
@@ -29,7 +29,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Lease {
-    tenure: LeaseId,
+    id: LeaseId,
     /// When the last renewal was requested.
     renewed: Instant,
 }
@@ -47,7 +47,7 @@
 
 /// Tracks which pieces of the slack this entry holds, and which are free.
 ///
-/// All entries share the slack, but each known_revision only its own retries. Each piece is
+/// All entries share the slack, but each knows only its own retries. Each piece is
 /// therefore held by one entry at a time: it is a key in the store that is created only if absent,
 /// under the lease of the entry that takes it. The holder uses it only while, by its own clock, the
 /// lease outlasts the time for which a retry counts. When the key goes, no window contains a retry
@@ -137,24 +137,24 @@
 
     /// Applies a new lease, granted by a call made at `requested_at`, and drops the pieces of an
     /// earlier one.
-    pub fn begun(&mut self, tenure: LeaseId, requested_at: Instant) {
+    pub fn begun(&mut self, lease: LeaseId, requested_at: Instant) {
         self.lost();
         self.own_lease = Some(Lease {
-            tenure,
+            id: lease,
             renewed: requested_at,
         });
     }
 
     /// Records that the lease was renewed by a call made at `requested_at`.
     pub fn renewed(&mut self, requested_at: Instant) {
-        if let Some(own) = &mut self.own_lease {
-            own.renewed = own.renewed.max(requested_at);
+        if let Some(lease) = &mut self.own_lease {
+            lease.renewed = lease.renewed.max(requested_at);
         }
     }
 
     /// Drops the lease once it has expired by this process's clock.
     pub fn expire(&mut self, now: Instant) {
-        let has_ended = |own: Lease| now.since(own.renewed) >= self.lease;
+        let has_ended = |lease: Lease| now.since(lease.renewed) >= self.lease;
         if self.own_lease.is_some_and(has_ended) {
             self.lost();
         }
@@ -170,7 +170,7 @@
     /// Returns the lease of this entry, if it has one.
     #[must_use]
     pub fn tenure(&self) -> Option<LeaseId> {
-        self.own_lease.map(|own| own.tenure)
+        self.own_lease.map(|lease| lease.id)
     }
 
     /// Returns whether pieces may be used: the lease outlasts the time for which a retry counts.
@@ -180,17 +180,17 @@
         !self.is_settling
             && self
                 .own_lease
-                .is_some_and(|own| now.since(own.renewed) < trusted)
+                .is_some_and(|lease| now.since(lease.renewed) < trusted)
     }
 
     /// Records pieces that were written to the store under a lease.
     pub fn took(
         &mut self,
-        tenure: LeaseId,
+        lease: LeaseId,
         service: &Service,
         pieces: impl IntoIterator<Item = Piece>,
     ) {
-        if self.tenure() != Some(tenure) {
+        if self.tenure() != Some(lease) {
             return;
         }
         for piece in pieces {
