--- a/crates/core/src/bundle/parse.rs
+++ b/crates/core/src/bundle/parse.rs
@@ -18,9 +18,9 @@
 use crate::section::Reader;
 use crate::time::Span;
 
-/// The longest bundle text, in bytes: what one value of the key-value service holds, with room for
-/// the signatures.
-pub const LONGEST: usize = 900_000;
+/// The maximum length of a bundle's text: it has to fit into one value of the key-value service
+/// together with the signatures.
+pub const MAX_BYTES: usize = 900_000;
 
 /// Reads a bundle's text; every fault found is returned, not only the first.
 ///
@@ -36,8 +36,8 @@
 /// assert_eq!(faults[0].to_string(), "[bundle] serial: `one`: expected a whole number");
 /// ```
 pub fn parse(text: &str) -> Result<Bundle, Vec<Fault>> {
-    if text.len() > LONGEST {
-        let what = format!("{} bytes: expected at most {LONGEST}", text.len());
+    if text.len() > MAX_BYTES {
+        let what = format!("{} bytes: expected at most {MAX_BYTES}", text.len());
         return Err(vec![Fault::new("bundle", "-", what)]);
     }
     let ini = section::load(text).map_err(|fault| vec![fault])?;
