--- a/crates/core/src/delta.rs
+++ b/crates/core/src/delta.rs
@@ -18,14 +18,14 @@
 use crate::head::Generation;
 use crate::head::Head;
 
-/// A piece of the newer text.
+/// A hunk of the newer text.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub enum Piece {
-    /// So many sections of the older text, from this one on.
+pub enum Hunk {
+    /// Consecutive sections copied from the older text.
     Keep {
-        /// The first section.
+        /// Index of the first section.
         first: usize,
-        /// How many.
+        /// Number of sections.
         count: usize,
     },
     /// Text that the older one does not have.
@@ -42,7 +42,7 @@
     /// The signatures of the newer text.
     pub signatures: Vec<Signature>,
     /// The newer text.
-    pub pieces: Vec<Piece>,
+    pub pieces: Vec<Hunk>,
 }
 
 /// Splits a text before each section's header; what is put together again is the same text.
@@ -83,12 +83,12 @@
         for section in sections(&newer.signed.text) {
             let place = places.get(section).copied();
             match (pieces.last_mut(), place) {
-                (Some(Piece::Keep { first, count }), Some(place)) if *first + *count == place => {
+                (Some(Hunk::Keep { first, count }), Some(place)) if *first + *count == place => {
                     *count += 1;
                 }
-                (Some(Piece::Insert(text)), None) => text.push_str(section),
-                (_, Some(first)) => pieces.push(Piece::Keep { first, count: 1 }),
-                (_, None) => pieces.push(Piece::Insert(section.to_string())),
+                (Some(Hunk::Insert(text)), None) => text.push_str(section),
+                (_, Some(first)) => pieces.push(Hunk::Keep { first, count: 1 }),
+                (_, None) => pieces.push(Hunk::Insert(section.to_string())),
             }
         }
         Self {
@@ -107,13 +107,13 @@
         }
         let old = sections(&older.signed.text);
         let mut text = String::new();
-        for piece in &self.pieces {
-            match piece {
-                Piece::Keep { first, count } => {
+        for hunk in &self.pieces {
+            match hunk {
+                Hunk::Keep { first, count } => {
                     let end = first.checked_add(*count)?;
                     text.extend(old.get(*first..end)?.iter().copied());
                 }
-                Piece::Insert(inserted) => text.push_str(inserted),
+                Hunk::Insert(inserted) => text.push_str(inserted),
             }
         }
         Some(Config {
