--- a/crates/core/src/bundle/check.rs
+++ b/crates/core/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a bundle that need more than one section.
+//! Semantic checks of a parsed bundle.
 
 use core::net::SocketAddr;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use crate::section::Fault;
 use crate::section::nearest;
 
-/// Returns everything that is wrong with a bundle that was read without fault.
+/// Returns the semantic faults of a parsed bundle, such as references to unknown names.
 ///
 /// # Examples
 ///
@@ -64,7 +64,7 @@
                 ));
             }
             if let Some(other) = owners.insert(key.clone(), name) {
-                let what = format!("the same key as customer {other}");
+                let what = format!("duplicate key, also listed for customer {other}");
                 faults.push(Fault::new(&section, "keys", what));
             }
         }
@@ -86,13 +86,13 @@
             continue;
         }
         if offer.kind == Kind::Model {
-            check_cover(bundle, name, offer, &section, faults);
+            check_coverage(bundle, name, offer, &section, faults);
         }
     }
 }
 
-/// Finds layers that no chain of backend servers covers.
-fn check_cover(
+/// Reports the first layer that no backend server in use holds.
+fn check_coverage(
     bundle: &Bundle,
     name: &Service,
     offer: &Offer,
@@ -122,7 +122,7 @@
             faults.push(Fault::new(&section, "address", what));
         }
         if let Some(other) = addresses.insert(member.address.clone(), name) {
-            let what = format!("the same address as server {other}");
+            let what = format!("duplicate address, also used by server {other}");
             faults.push(Fault::new(&section, "address", what));
         }
         if member.slots == 0 {
@@ -176,16 +176,16 @@
 }
 
 fn check_links(bundle: &Bundle, faults: &mut Vec<Fault>) {
-    let known = |zone| bundle.servers.values().any(|m| &m.zone == zone);
+    let has_servers = |zone| bundle.servers.values().any(|m| &m.zone == zone);
     for ((one, other), link) in &bundle.links {
         let section = format!("link {one} {other}");
         if link.bytes == 0 {
             faults.push(Fault::new(&section, "bytes", "0: expected 1 or more"));
         }
         for zone in [one, other] {
-            if !known(zone) {
+            if !has_servers(zone) {
                 let hint = nearest(&zone.0, bundle.servers.values().map(|m| &*m.zone.0));
-                let what = format!("no backend server is in `{zone}`{hint}");
+                let what = format!("no backend server in zone `{zone}`{hint}");
                 faults.push(Fault::new(&section, "-", what));
             }
         }
--- a/crates/core/src/bundle/diff.rs
+++ b/crates/core/src/bundle/diff.rs
@@ -1,4 +1,4 @@
-//! What changes between two bundles, and the guard on how much may.
+//! Differences between two bundles, and the guard that limits how much a change may remove.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
     Added(String),
     /// A section that only the older bundle has.
     Removed(String),
-    /// A section that both have with different content.
+    /// A section whose content differs between the two bundles.
     Altered(String),
 }
 
@@ -54,13 +54,18 @@
         &newer.accelerators,
         &mut changes,
     );
-    let named = |bundle: &Bundle| -> BTreeMap<String, super::Link> {
+    let links_by_name = |bundle: &Bundle| -> BTreeMap<String, super::Link> {
         let links = bundle.links.iter();
         links
             .map(|((a, b), link)| (format!("{a} {b}"), *link))
             .collect()
     };
-    compare("link", &named(older), &named(newer), &mut changes);
+    compare(
+        "link",
+        &links_by_name(older),
+        &links_by_name(newer),
+        &mut changes,
+    );
     changes
 }
 
@@ -82,10 +87,10 @@
     }
 }
 
-/// How much one bundle may take away without a consent in its signed text.
+/// The limit on what a bundle may remove without a consent in its signed text.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Guard {
-    /// The largest share of a service's backend servers that may go, in percent.
+    /// The maximum share of a service's backend servers that may be removed, in percent.
     pub largest_loss_percent: u64,
 }
 
@@ -97,11 +102,10 @@
     }
 }
 
-/// Returns what the blast-radius guard refuses in a change from `older` to `newer`.
+/// Returns the removals from `older` to `newer` that exceed `limits` and lack a consent.
 ///
-/// Seasonal staff will send a bundle with half of the fleet cut off by a slip of the editor: each
-/// section of it is valid, and callers see refusals within seconds of the roll-out. The consent is
-/// a named line of the signed text, so that the reviewer reads it too.
+/// Guards against a truncated bundle: each section that is left is valid, but the roll-out would
+/// remove part of the fleet. The consent is a line of the signed text, so that the reviewer sees it.
 #[must_use]
 pub fn guard(older: &Bundle, newer: &Bundle, limits: Guard) -> Vec<Fault> {
     let mut faults = Vec::new();
@@ -111,21 +115,21 @@
         }
         let consent = format!("drop-customer:{customer}");
         let what = format!("drops customer {customer}");
-        require(newer, &consent, what, &mut faults);
+        require_consent(newer, &consent, what, &mut faults);
     }
     for service in older.services.keys() {
         if !newer.services.contains_key(service) {
             let consent = format!("drop-service:{service}");
             let what = format!("drops service {service}");
-            require(newer, &consent, what, &mut faults);
+            require_consent(newer, &consent, what, &mut faults);
             continue;
         }
-        guard_capacity(older, newer, service, limits, &mut faults);
+        check_capacity(older, newer, service, limits, &mut faults);
     }
     faults
 }
 
-fn guard_capacity(
+fn check_capacity(
     older: &Bundle,
     newer: &Bundle,
     service: &Service,
@@ -141,10 +145,10 @@
     }
     let consent = format!("shrink:{service}");
     let what = format!("takes {lost} of {total} backend servers of {service} out of use");
-    require(newer, &consent, what, faults);
+    require_consent(newer, &consent, what, faults);
 }
 
-fn require(newer: &Bundle, consent: &str, what: String, faults: &mut Vec<Fault>) {
+fn require_consent(newer: &Bundle, consent: &str, what: String, faults: &mut Vec<Fault>) {
     if newer.consents.contains(consent) {
         return;
     }
--- a/crates/core/src/bundle/mod.rs
+++ b/crates/core/src/bundle/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' bundle: its model, reading, checks, comparison and signatures.
+//! The bundle of configuration that operators sign: data model, parser, checks, diff and signatures.
 
 mod check;
 mod diff;
--- a/crates/core/src/bundle/model.rs
+++ b/crates/core/src/bundle/model.rs
@@ -1,4 +1,4 @@
-//! What a bundle says, as plain values.
+//! The data model of a bundle.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,10 +14,10 @@
 use crate::name::Zone;
 use crate::time::Span;
 
-/// What a service is.
+/// The kind of a service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Kind {
-    /// A model whose layers are spread over stages.
+    /// A model whose layers are distributed over stages.
     #[default]
     Model,
     /// An HTTP service that a single backend server answers.
@@ -45,101 +45,101 @@
     }
 }
 
-/// A customer: who it is and its share.
+/// The keys and limits of a customer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Tenant {
-    /// SHA-256 digests of its API keys, in hex. The keys themselves are never in a bundle.
+    /// SHA-256 digests of its API keys, in hex; a bundle never contains the keys themselves.
     pub keys: BTreeSet<Arc<str>>,
-    /// Its share of a contended service against the other customers.
+    /// Its relative share of a contended service.
     pub weight: u64,
-    /// The most requests that one entry keeps in flight for it.
+    /// The maximum number of its requests in flight at one entry.
     pub max_in_flight: u64,
 }
 
-/// A service as it is offered to customers.
+/// The terms on which a service is offered to customers.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Offer {
-    /// Model or plain.
+    /// The kind of the service.
     pub kind: Kind,
     /// The number of layers of a model; 0 for a plain service.
     pub layers: u32,
-    /// Smaller goes first.
+    /// The scheduling priority; smaller values go first.
     pub priority: u64,
-    /// Who may use it; empty stands for every customer.
+    /// The customers that may use it; empty means all customers.
     pub customers: BTreeSet<Customer>,
-    /// The HTTP methods that may be repeated.
+    /// The HTTP methods that may be retried.
     pub idempotent: BTreeSet<Arc<str>>,
-    /// The longest that a request may wait before it starts.
+    /// The maximum queueing time of a request.
     pub max_wait: Span,
-    /// Bytes of one activation on a link.
+    /// The size of one activation on a link.
     pub activation_bytes: u64,
 }
 
 /// A backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
-    /// The service that it works for.
+    /// The service that it belongs to.
     pub service: Service,
-    /// The address of its sidecar, IP number and port.
+    /// The IP address and port of its sidecar.
     pub address: Arc<str>,
-    /// Where it is.
+    /// Its availability zone.
     pub zone: Zone,
     /// Its accelerator; `none` for plain services.
     pub accelerator: Accelerator,
     /// The layers that its engine holds; empty for plain services.
     pub layers: Range,
-    /// How many requests it takes at a time.
+    /// The maximum number of concurrent requests.
     pub slots: u64,
-    /// Whether new work may go to it.
+    /// Whether it may get new work.
     pub in_use: bool,
 }
 
 /// The speed of a kind of accelerator.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Capacity {
-    /// Layer-tokens a second at the plateau of the batch curve.
+    /// Layer-tokens per second at the batch size where throughput levels off.
     pub layer_tokens: u64,
 }
 
-/// A link between two availability zones; it counts both ways.
+/// A symmetric link between two availability zones.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Link {
-    /// Bytes a second each way.
+    /// Bytes per second in each direction.
     pub bytes: u64,
     /// One-way latency in microseconds.
     pub latency_micros: u64,
 }
 
-/// All that operators say.
+/// A complete configuration as written by operators.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Bundle {
-    /// The operators' own number of this text.
+    /// The serial number that the operators give this text.
     pub serial: u64,
-    /// Consents that the blast-radius guard asks for, by name.
+    /// Names of the consents to removals that [`guard`](super::guard) requires.
     pub consents: BTreeSet<Arc<str>>,
-    /// By customer.
+    /// The customers by name.
     pub customers: BTreeMap<Customer, Tenant>,
-    /// By service.
+    /// The services by name.
     pub services: BTreeMap<Service, Offer>,
-    /// By backend server.
+    /// The backend servers by name.
     pub servers: BTreeMap<Server, Member>,
-    /// By kind of accelerator.
+    /// The capacities by kind of accelerator.
     pub accelerators: BTreeMap<Accelerator, Capacity>,
-    /// By pair of availability zones, the smaller name first.
+    /// The links by pair of availability zones, in alphabetical order.
     pub links: BTreeMap<(Zone, Zone), Link>,
 }
 
 impl Bundle {
     /// Returns the customer that an API key's digest belongs to.
     ///
-    /// Linear in the customers: callers keep an index, see `blackboard`.
+    /// Takes time linear in the number of customers; the `blackboard` module keeps an index.
     #[must_use]
     pub fn customer_of(&self, key_digest: &str) -> Option<&Customer> {
         let owns = |tenant: &Tenant| tenant.keys.contains(key_digest);
         self.customers.iter().find(|(_, t)| owns(t)).map(|(c, _)| c)
     }
 
-    /// Tells whether a customer may use a service.
+    /// Returns whether a customer may use a service.
     #[must_use]
     pub fn may_use(&self, customer: &Customer, service: &Service) -> bool {
         let Some(offer) = self.services.get(service) else {
@@ -148,8 +148,8 @@
         offer.customers.is_empty() || offer.customers.contains(customer)
     }
 
-    /// Returns the link between two availability zones; within one, and where none is named, a
-    /// link that never limits.
+    /// Returns the link between two availability zones, or an unlimited link when none is
+    /// configured.
     #[must_use]
     pub fn link(&self, from: &Zone, to: &Zone) -> Link {
         const UNLIMITED: Link = Link {
@@ -163,8 +163,8 @@
 
     /// Returns the backend servers of a service that may get new work.
     pub fn in_use(&self, service: &Service) -> impl Iterator<Item = (&Server, &Member)> {
-        let wanted = service.clone();
-        let usable = move |member: &Member| member.in_use && member.service == wanted;
+        let service = service.clone();
+        let usable = move |member: &Member| member.in_use && member.service == service;
         self.servers.iter().filter(move |(_, m)| usable(m))
     }
 }
--- a/crates/core/src/bundle/parse.rs
+++ b/crates/core/src/bundle/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a bundle's INI text.
+//! Parses the INI text of a bundle.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -22,11 +22,12 @@
 /// together with the signatures.
 pub const MAX_BYTES: usize = 900_000;
 
-/// Reads a bundle's text; every fault found is returned, not only the first.
+/// Parses the text of a bundle and collects all faults instead of stopping at the first.
 ///
 /// # Errors
 ///
-/// The text is no INI, is too long, or a section or key is unknown, missing or of the wrong type.
+/// Returns the faults when the text is not valid INI or too long, or when a section or key is
+/// unknown, missing or of the wrong type.
 ///
 /// # Examples
 ///
@@ -48,12 +49,12 @@
         let Some(header) = header else {
             let stray = properties.iter().next();
             if let Some((key, _)) = stray {
-                faults.push(Fault::new("", key, "stands before the first section"));
+                faults.push(Fault::new("", key, "key outside of any section"));
             }
             continue;
         };
         if !seen.insert(header.to_string()) {
-            faults.push(Fault::new(header, "-", "the section stands twice"));
+            faults.push(Fault::new(header, "-", "duplicate section"));
             continue;
         }
         let mut reader = Reader::new(header, properties);
@@ -61,7 +62,7 @@
         faults.extend(reader.finish());
     }
     if !seen.contains("bundle") {
-        faults.push(Fault::new("bundle", "-", "the section is missing"));
+        faults.push(Fault::new("bundle", "-", "missing section"));
     }
     if faults.is_empty() {
         return Ok(bundle);
@@ -123,8 +124,8 @@
 }
 
 fn read_service(reader: &mut Reader<'_>) -> Offer {
-    const MAX_WAIT: u64 = 10_000;
-    const ACTIVATION_BYTES: u64 = 8192;
+    const DEFAULT_MAX_WAIT_MILLIS: u64 = 10_000;
+    const DEFAULT_ACTIVATION_BYTES: u64 = 8192;
     let kind = reader.value("kind", "`model` or `plain`", None);
     let customers: BTreeSet<Arc<str>> = reader.list("customers");
     let methods: BTreeSet<Arc<str>> = reader.list("idempotent");
@@ -138,19 +139,19 @@
         priority: reader.number("priority", Some(1)),
         customers: customers.into_iter().map(Customer).collect(),
         idempotent: safe.into_iter().chain(methods).collect(),
-        max_wait: Span(reader.number("max-wait-ms", Some(MAX_WAIT))),
-        activation_bytes: reader.number("activation-bytes", Some(ACTIVATION_BYTES)),
+        max_wait: Span(reader.number("max-wait-ms", Some(DEFAULT_MAX_WAIT_MILLIS))),
+        activation_bytes: reader.number("activation-bytes", Some(DEFAULT_ACTIVATION_BYTES)),
     }
 }
 
 fn read_server(reader: &mut Reader<'_>) -> Member {
-    let text = "a name";
+    let name = "a name";
     let layers = "`start-end` with start below end, such as `0-12`";
     Member {
-        service: reader.text("service", text, None).into(),
+        service: reader.text("service", name, None).into(),
         address: reader.text("address", "an IP number and port", None).into(),
-        zone: reader.text("zone", text, None).into(),
-        accelerator: reader.text("accelerator", text, Some("none")).into(),
+        zone: reader.text("zone", name, None).into(),
+        accelerator: reader.text("accelerator", name, Some("none")).into(),
         layers: reader.value("layers", layers, Some(Range::default())),
         slots: reader.number("slots", Some(64)),
         in_use: reader.value("in-use", "`true` or `false`", Some(true)),
--- a/crates/core/src/bundle/sign.rs
+++ b/crates/core/src/bundle/sign.rs
@@ -1,4 +1,4 @@
-//! Signatures on bundles: an author's and a reviewer's.
+//! Signatures of the author and the reviewer of a bundle.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -48,7 +48,7 @@
     digest_bytes(text.as_bytes())
 }
 
-/// Returns the digest of bytes that need not be text.
+/// Returns the digest of arbitrary bytes.
 #[must_use]
 pub fn digest_bytes(bytes: &[u8]) -> Digest {
     Digest(hex::encode(Sha256::digest(bytes)))
@@ -63,33 +63,33 @@
     pub signature: String,
 }
 
-/// A bundle's text with the signatures under it.
+/// The text of a bundle with its signatures.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Signed {
     /// The INI text.
     pub text: Arc<str>,
-    /// Over the text's digest.
+    /// The signatures over the digest of the text.
     pub signatures: Vec<Signature>,
 }
 
 /// The keys that a process trusts.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Trust {
-    /// Public keys in hex, of those who may write and review bundles.
+    /// The public keys of authors and reviewers, in hex.
     pub keys: BTreeSet<Arc<str>>,
 }
 
-/// Why signatures do not suffice.
+/// Why signatures were rejected.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum SignatureError {
-    /// A key that the settings do not name.
+    /// The key is not configured as trusted.
     #[error("key {0} is not among the trusted keys")]
     Untrusted(String),
-    /// A signature that does not fit the text.
-    #[error("the signature by key {0} does not fit this text")]
+    /// The signature does not match the text.
+    #[error("the signature by key {0} does not match this text")]
     Mismatch(String),
-    /// Fewer than two people.
-    #[error("signed by {0} of the 2 different people that sign-off needs")]
+    /// Fewer than two people signed.
+    #[error("signed by {0} of the 2 different people required")]
     TooFew(usize),
 }
 
@@ -113,11 +113,11 @@
 }
 
 impl Trust {
-    /// Checks that one trusted person signed a digest.
+    /// Verifies a signature of a digest.
     ///
     /// # Errors
     ///
-    /// The key is not trusted, or the signature does not fit.
+    /// Returns an error when the key is not trusted or the signature does not match.
     pub fn verify(&self, digest: &Digest, signature: &Signature) -> Result<(), SignatureError> {
         if !self.keys.contains(signature.key.as_str()) {
             return Err(SignatureError::Untrusted(signature.key.clone()));
@@ -135,18 +135,18 @@
     ///
     /// # Errors
     ///
-    /// Any signature is bad, or fewer than two people signed: one person who signs twice counts
-    /// once.
+    /// Returns an error when any signature is invalid or fewer than two people signed. Signatures
+    /// with the same key count once.
     pub fn accept(&self, signed: &Signed) -> Result<Digest, SignatureError> {
-        const SIGNERS: usize = 2;
+        const MIN_SIGNERS: usize = 2;
         let digest = digest(&signed.text);
-        let mut people = BTreeSet::new();
+        let mut signers = BTreeSet::new();
         for signature in &signed.signatures {
             self.verify(&digest, signature)?;
-            people.insert(signature.key.as_str());
+            signers.insert(signature.key.as_str());
         }
-        if people.len() < SIGNERS {
-            return Err(SignatureError::TooFew(people.len()));
+        if signers.len() < MIN_SIGNERS {
+            return Err(SignatureError::TooFew(signers.len()));
         }
         Ok(digest)
     }
