--- a/crates/core/src/bundle/check.rs
+++ b/crates/core/src/bundle/check.rs
@@ -11,7 +11,7 @@
 use crate::layer::Range;
 use crate::name::Service;
 use crate::section::Fault;
-use crate::section::nearest;
+use crate::section::suggest;
 
 /// Returns the semantic faults of a parsed bundle, such as references to unknown names.
 ///
@@ -76,7 +76,7 @@
         let section = format!("service {name}");
         for customer in &offer.customers {
             if !bundle.customers.contains_key(customer) {
-                let hint = nearest(&customer.0, bundle.customers.keys().map(|c| &*c.0));
+                let hint = suggest(&customer.0, bundle.customers.keys().map(|c| &*c.0));
                 let what = format!("unknown customer `{customer}`{hint}");
                 faults.push(Fault::new(&section, "customers", what));
             }
@@ -131,7 +131,7 @@
         match bundle.services.get(&member.service) {
             Some(offer) => check_member(bundle, member, offer, &section, faults),
             None => {
-                let hint = nearest(&member.service.0, bundle.services.keys().map(|s| &*s.0));
+                let hint = suggest(&member.service.0, bundle.services.keys().map(|s| &*s.0));
                 let what = format!("unknown service `{}`{hint}", member.service);
                 faults.push(Fault::new(&section, "service", what));
             }
@@ -168,7 +168,7 @@
         }
         None => {
             let known = bundle.accelerators.keys().map(|a| &*a.0);
-            let hint = nearest(&member.accelerator.0, known);
+            let hint = suggest(&member.accelerator.0, known);
             let what = format!("unknown accelerator `{}`{hint}", member.accelerator);
             faults.push(Fault::new(section, "accelerator", what));
         }
@@ -184,7 +184,7 @@
         }
         for zone in [one, other] {
             if !has_servers(zone) {
-                let hint = nearest(&zone.0, bundle.servers.values().map(|m| &*m.zone.0));
+                let hint = suggest(&zone.0, bundle.servers.values().map(|m| &*m.zone.0));
                 let what = format!("no backend server in zone `{zone}`{hint}");
                 faults.push(Fault::new(&section, "-", what));
             }
--- a/crates/core/src/section.rs
+++ b/crates/core/src/section.rs
@@ -1,4 +1,4 @@
-//! Reading INI sections so that every fault names section, key and what was expected.
+//! A reader of INI sections whose errors name the section, the key and the expected value.
 
 use core::net::Ipv4Addr;
 use core::net::SocketAddr;
@@ -12,20 +12,20 @@
 use ini::Ini;
 use ini::Properties;
 
-/// One thing that is wrong in an INI text.
+/// An error in an INI text.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("[{section}] {key}: {what}")]
 pub struct Fault {
     /// The section's header.
     pub section: Arc<str>,
-    /// The key, or `-` where the section as a whole is meant.
+    /// The key, or `-` for the section as a whole.
     pub key: Arc<str>,
     /// What is wrong and what was expected.
     pub what: Arc<str>,
 }
 
 impl Fault {
-    /// Returns a fault.
+    /// Returns a fault of a key in a section.
     pub fn new(section: &str, key: &str, what: impl fmt::Display) -> Self {
         Self {
             section: section.into(),
@@ -35,20 +35,20 @@
     }
 }
 
-/// Reads INI text without escapes.
+/// Parses INI text without processing escape sequences.
 ///
 /// # Errors
 ///
-/// The text is no INI.
+/// Returns a fault when the text is not valid INI.
 pub fn load(text: &str) -> Result<Ini, Fault> {
     Ini::load_from_str_noescape(text)
-        .map_err(|error| Fault::new("-", "-", format!("no INI text: {error}")))
+        .map_err(|error| Fault::new("-", "-", format!("not valid INI: {error}")))
 }
 
-/// What a faulty address reads as.
+/// The placeholder for an invalid address.
 const UNSPECIFIED: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
 
-/// Takes keys out of one section and keeps what is wrong.
+/// Reads the values of one section and collects the faults.
 pub struct Reader<'a> {
     section: &'a str,
     properties: &'a Properties,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Books a fault of a key.
+    /// Records a fault of a key.
     pub fn fault(&mut self, key: &str, what: impl fmt::Display) {
         self.faults.push(Fault::new(self.section, key, what));
     }
 
-    /// Takes one value; without a default it must be there.
+    /// Reads a value; the key is required when there is no default.
     pub fn value<T: FromStr + Default>(
         &mut self,
         key: &'static str,
@@ -82,7 +82,7 @@
         self.known.insert(key);
         let texts: Vec<&str> = self.properties.get_all(key).collect();
         if texts.len() > 1 {
-            self.fault(key, "the key stands twice");
+            self.fault(key, "duplicate key");
         }
         match (texts.first(), default) {
             (Some(text), _) => match text.trim().parse() {
@@ -100,17 +100,17 @@
         }
     }
 
-    /// Takes a whole number.
+    /// Reads a whole number.
     pub fn number(&mut self, key: &'static str, default: Option<u64>) -> u64 {
         self.value(key, "a whole number", default)
     }
 
-    /// Takes a text.
+    /// Reads a text.
     pub fn text(&mut self, key: &'static str, expected: &str, default: Option<&str>) -> String {
         self.value(key, expected, default.map(str::to_string))
     }
 
-    /// Takes an IP number and port.
+    /// Reads an IP address and port.
     pub fn address(&mut self, key: &'static str) -> SocketAddr {
         let expected = "an IP number and port, such as `127.0.0.1:7000`";
         let text = self.text(key, expected, None);
@@ -123,14 +123,14 @@
         })
     }
 
-    /// Takes names that commas separate.
+    /// Reads a comma-separated list of names.
     pub fn list(&mut self, key: &'static str) -> BTreeSet<Arc<str>> {
         let text = self.text(key, "names, separated by commas", Some(""));
         let names = text.split(',').map(str::trim);
         names.filter(|n| !n.is_empty()).map(Arc::from).collect()
     }
 
-    /// Returns all faults, unknown keys among them.
+    /// Returns all faults, including those of unknown keys.
     pub fn finish(mut self) -> Vec<Fault> {
         let known = std::mem::take(&mut self.known);
         if known.is_empty() {
@@ -140,37 +140,37 @@
             if known.contains(key) {
                 continue;
             }
-            let hint = nearest(key, known.iter().copied());
+            let hint = suggest(key, known.iter().copied());
             self.fault(key, format!("unknown key{hint}"));
         }
         self.faults
     }
 }
 
-/// Cuts a text for an error message: a megabyte of garbage must not fill the operator's screen.
+/// Truncates a value for an error message, so that invalid input of any length stays readable.
 fn shorten(text: &str) -> String {
-    const LONGEST_SHOWN: usize = 40;
-    if text.chars().count() <= LONGEST_SHOWN {
+    const MAX_SHOWN_CHARS: usize = 40;
+    if text.chars().count() <= MAX_SHOWN_CHARS {
         return text.trim().to_string();
     }
-    let start: String = text.chars().take(LONGEST_SHOWN).collect();
+    let start: String = text.chars().take(MAX_SHOWN_CHARS).collect();
     format!("{start}...")
 }
 
-/// Returns ` (did you mean ...?)` when a known name is near, else nothing.
-pub(crate) fn nearest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> String {
-    const MOST_EDITS: usize = 2;
-    let scored = known.map(|name| (edits(word, name), name));
+/// Returns ` (did you mean ...?)` when a known name is similar, otherwise an empty string.
+pub(crate) fn suggest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> String {
+    const MAX_EDITS: usize = 2;
+    let scored = known.map(|name| (edit_distance(word, name), name));
     let mut hint = String::new();
-    if let Some((_, name)) = scored.filter(|(n, _)| *n <= MOST_EDITS).min() {
-        // Writing to a string does not fail.
+    if let Some((_, name)) = scored.filter(|(distance, _)| *distance <= MAX_EDITS).min() {
+        // Writing to a `String` never fails.
         let _ = write!(hint, " (did you mean `{name}`?)");
     }
     hint
 }
 
-/// Returns the Levenshtein distance of two short words.
-fn edits(one: &str, other: &str) -> usize {
+/// Returns the Levenshtein distance of two words.
+fn edit_distance(one: &str, other: &str) -> usize {
     let other: Vec<char> = other.chars().collect();
     let mut row: Vec<usize> = (0..=other.len()).collect();
     for (i, a) in one.chars().enumerate() {
