--- a/crates/core/src/layer.rs
+++ b/crates/core/src/layer.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Layers `start` up to and without `end`.
+/// A half-open range of layers, `[start, end)`.
 ///
 /// # Examples
 ///
@@ -15,7 +15,7 @@
 /// let held: Range = "4-12".parse()?;
 /// assert!(held.contains("6-8".parse()?));
 /// assert_eq!(held.len(), 8);
-/// # Ok::<(), jujube_core::layer::BadRange>(())
+/// # Ok::<(), jujube_core::layer::ParseRangeError>(())
 /// ```
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
@@ -23,17 +23,17 @@
 pub struct Range {
     /// The first layer.
     pub start: u32,
-    /// The layer after the last.
+    /// One past the last layer.
     pub end: u32,
 }
 
-/// A text that is not a range of layers.
+/// The error for a text that is not a range of layers.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("expected `start-end` with start below end, such as `0-12`")]
-pub struct BadRange;
+pub struct ParseRangeError;
 
 impl Range {
-    /// Returns the range from `start` up to and without `end`.
+    /// Returns the range `[start, end)`.
     #[must_use]
     pub fn new(start: u32, end: u32) -> Self {
         Self { start, end }
@@ -45,13 +45,13 @@
         self.end.saturating_sub(self.start)
     }
 
-    /// Tells whether there is no layer in the range.
+    /// Returns whether the range contains no layers.
     #[must_use]
     pub fn is_empty(self) -> bool {
         self.len() == 0
     }
 
-    /// Tells whether every layer of `other` lies in this range.
+    /// Returns whether every layer of `other` is in this range.
     #[must_use]
     pub fn contains(self, other: Self) -> bool {
         self.start <= other.start && other.end <= self.end
@@ -65,22 +65,22 @@
 }
 
 impl FromStr for Range {
-    type Err = BadRange;
+    type Err = ParseRangeError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (start, end) = text.split_once('-').ok_or(BadRange)?;
+        let (start, end) = text.split_once('-').ok_or(ParseRangeError)?;
         let range = Self {
-            start: start.trim().parse().map_err(|_| BadRange)?,
-            end: end.trim().parse().map_err(|_| BadRange)?,
+            start: start.trim().parse().map_err(|_| ParseRangeError)?,
+            end: end.trim().parse().map_err(|_| ParseRangeError)?,
         };
         if range.is_empty() {
-            return Err(BadRange);
+            return Err(ParseRangeError);
         }
         Ok(range)
     }
 }
 
-/// Returns the first layer of a model that no chain of ranges reaches; `None` when all are covered.
+/// Returns the first layer of a model that none of the ranges contains, or `None`.
 ///
 /// # Examples
 ///
@@ -97,7 +97,7 @@
         .map(|gap| gap.start)
 }
 
-/// Returns the layers of a model that lie in none of the ranges, in order.
+/// Returns the gaps: the layers of a model that none of the ranges contains, in order.
 ///
 /// # Examples
 ///
--- a/crates/core/src/session/call.rs
+++ b/crates/core/src/session/call.rs
@@ -56,7 +56,7 @@
 /// let mut actions = Vec::new();
 /// session.routed(Instant(0), Some(Arc::new(route)), &mut actions);
 /// assert_eq!(actions.len(), 1);
-/// # Ok::<(), jujube_core::layer::BadRange>(())
+/// # Ok::<(), jujube_core::layer::ParseRangeError>(())
 /// ```
 #[derive(Clone, Debug)]
 pub struct Session {
