--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,11 +1,11 @@
-//! Every decision that jujubeshore takes, without I/O.
+//! The decision logic of jujubeshore, without I/O.
 //!
-//! This crate is for the controllers of the router (step ledger, request session, admission, path
-//! choice, membership, claims, generations) and for the values that they exchange. A controller
-//! takes the time and an event, and returns actions; it never reads a clock, opens a socket or
-//! draws from global randomness, so that a fault can be put between any two events and a run
-//! repeats exactly from its seed. It is not for transports, settings files or programs: these
-//! live in the crates that drive the controllers.
+//! This crate contains the controllers of the router (step ledger, request session, admission, path
+//! selection, membership, claims, generations) and the values that they exchange. A controller
+//! takes the time and an event, and returns actions. It never reads a clock, opens a socket or uses
+//! global randomness, so that tests can inject a fault between any two events and reproduce a run
+//! from its seed. Transports, settings files and programs are in the crates that drive the
+//! controllers.
 
 pub mod admission;
 pub mod blackboard;
--- a/crates/core/src/name.rs
+++ b/crates/core/src/name.rs
@@ -1,11 +1,11 @@
-//! Names that a bundle gives to things.
+//! Newtypes for the names in a bundle.
 
 use std::convert::Infallible;
 use std::fmt;
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Declares newtypes over `Arc<str>`; see `number.rs` for why this is a macro.
+/// Declares newtypes over `Arc<str>`. A macro keeps their implementations identical.
 macro_rules! names {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
@@ -50,9 +50,9 @@
 }
 
 names! {
-    /// A customer, as the bundle names it.
+    /// A customer.
     Customer;
-    /// A service: a model or a plain service.
+    /// A service, either a model or a plain HTTP service.
     Service;
     /// A backend server.
     Server;
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -1,8 +1,8 @@
-//! Which backend servers one entry speaks to.
+//! Selection of the backend servers that one entry connects to.
 //!
-//! With 370 entries before 11,000 backend servers, heartbeats from all to all would take a thousand
-//! times the bytes that control may use. Each entry speaks to a few of each group of like backend
-//! servers, in the zones near it; different entries to different ones.
+//! Heartbeats between all entries and all backend servers would exceed the bandwidth for control
+//! traffic. Each entry connects to a few backend servers of each group of identical ones in its
+//! configured zones, and different entries select different ones.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,21 +22,21 @@
 use crate::name::Zone;
 use crate::request::Incarnation;
 
-/// How an entry's share is cut.
+/// The size of an entry's subset.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Settings {
-    /// The availability zones that it speaks to; empty stands for all.
+    /// The availability zones that it connects to; empty means all.
     pub zones: BTreeSet<Zone>,
-    /// How many of each group; 0 stands for all.
+    /// The number of backend servers per group; 0 means all.
     pub each: usize,
 }
 
 type Members<'a> = Vec<(&'a Server, &'a Member)>;
 
-/// Returns the backend servers that an entry speaks to.
+/// Returns the backend servers that an entry connects to.
 ///
-/// A service that its zones do not cover whole is taken from all zones: a path across the sea beats
-/// none.
+/// When the configured zones do not hold all layers of a model or no server of a plain service, the
+/// servers of that service are selected from all zones, so that the entry has a path at all.
 ///
 /// # Examples
 ///
@@ -65,9 +65,9 @@
         let near = |(_, member): &(&Server, &Member)| settings.zones.contains(&member.zone);
         let nearby: Members<'_> = members.iter().copied().filter(near).collect();
         let offer = bundle.services.get(service);
-        let enough = offer.is_some_and(|offer| covers(offer, &nearby));
-        let pool = if enough { nearby } else { members };
-        for (server, member) in draw(pool, entry, settings.each) {
+        let is_covered = offer.is_some_and(|offer| covers(offer, &nearby));
+        let pool = if is_covered { nearby } else { members };
+        for (server, member) in select(pool, entry, settings.each) {
             chosen.insert(server.clone(), member.clone());
         }
     }
@@ -85,28 +85,28 @@
     }
 }
 
-/// Takes the highest of each group by rendezvous hashing: a member that goes changes only what the
-/// entries that had it speak to.
-fn draw(pool: Members<'_>, entry: Incarnation, each: usize) -> Members<'_> {
+/// Selects up to `each` members of every group by rendezvous hashing, so that the removal of a member
+/// changes the subsets of only those entries that had selected it.
+fn select(pool: Members<'_>, entry: Incarnation, each: usize) -> Members<'_> {
     if each == 0 {
         return pool;
     }
     let mut groups: BTreeMap<(&Zone, &Accelerator, Range, bool), Members<'_>> = BTreeMap::new();
     for (server, member) in pool {
-        let like = (
+        let group = (
             &member.zone,
             &member.accelerator,
             member.layers,
             member.in_use,
         );
-        groups.entry(like).or_default().push((server, member));
+        groups.entry(group).or_default().push((server, member));
     }
-    let mut drawn = Vec::new();
+    let mut selected = Vec::new();
     for mut group in groups.into_values() {
         group.sort_by_key(|(server, _)| score(entry, server));
-        drawn.extend(group.into_iter().take(each));
+        selected.extend(group.into_iter().take(each));
     }
-    drawn
+    selected
 }
 
 fn score(entry: Incarnation, server: &Server) -> u64 {
