--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: which backend servers may get work, by what they say themselves.
+//! Membership: which backend servers may get work, based on their heartbeats.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,61 +10,61 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// What a sidecar says with each heartbeat.
+/// The content of a sidecar's heartbeat.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Heartbeat {
-    /// The run of the sidecar.
+    /// The incarnation of the sidecar.
     pub incarnation: Incarnation,
-    /// The configuration that it applies.
+    /// The generation of the configuration in force there.
     pub generation: Generation,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Whether its engine or backend server answers.
+    /// Whether its engine or backend server responds.
     pub healthy: bool,
-    /// Requests held.
+    /// The number of requests that it holds.
     pub held: u64,
-    /// Where it takes calls to plain services.
+    /// The address for calls to plain services.
     pub http: Arc<str>,
-    /// How many entries it hears from.
+    /// The number of entries that it receives messages from.
     pub entries: u64,
 }
 
-/// What the VM list says of a backend server.
+/// The state of a backend server in the VM list.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Vm {
-    /// Listed as live, or not listed: the list lags.
+    /// Listed as live, or not listed because the list lags.
     #[default]
     Unknown,
     /// Listed as leaving.
     Leaving,
 }
 
-/// Whether a backend server may get work.
+/// The state of a backend server, which determines whether it gets work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
     /// May get new work.
     Up,
-    /// Gets no new work; what it has goes on.
+    /// Gets no new work, but finishes what it has.
     Draining,
-    /// Silent for a while; gets work only when nothing better is there.
+    /// Has not responded for a while; gets no new work unless most servers are silent.
     Suspect,
-    /// Gone.
+    /// Unreachable, unhealthy or unknown; gets no work.
     Down,
 }
 
-/// When silence counts.
+/// The intervals and limits of failure detection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// How often sidecars are asked that hold requests of this entry.
+    /// The polling interval for sidecars that hold requests of this entry.
     pub busy_interval: Span,
-    /// How often the others are asked.
+    /// The polling interval for other sidecars.
     pub idle_interval: Span,
-    /// Silence after which a backend server is suspect.
+    /// The time without an answer after which a backend server is suspect.
     pub suspect_after: Span,
-    /// Silence after which it is gone.
+    /// The time without an answer after which it is down.
     pub down_after: Span,
-    /// The smallest share, in percent, that may be left of a service before silence is no longer
-    /// believed.
+    /// The minimum share of a service's known servers, in percent, that must be up. Below it,
+    /// silence alone excludes no server.
     pub floor_percent: usize,
 }
 
@@ -81,16 +81,16 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct Record {
     last: Heartbeat,
-    heard: Option<Instant>,
-    /// When the oldest question without an answer was asked.
+    received: Option<Instant>,
+    /// When the oldest unanswered poll was sent.
     unanswered: Option<Instant>,
     refused: bool,
     vm: Vm,
 }
 
-/// What one entry knows of the backend servers.
+/// The states of the backend servers as seen by one entry.
 ///
 /// # Examples
 ///
@@ -110,11 +110,11 @@
 #[derive(Clone, Debug)]
 pub struct Membership {
     settings: Settings,
-    servers: BTreeMap<Server, Seen>,
+    servers: BTreeMap<Server, Record>,
 }
 
 impl Membership {
-    /// Returns a membership that has heard nobody.
+    /// Returns a membership without servers.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Keeps the backend servers that the bundle names and forgets the others.
+    /// Adds the backend servers of a bundle and removes all others.
     pub fn set_servers(&mut self, servers: impl IntoIterator<Item = Server>) {
         let named: BTreeSet<Server> = servers.into_iter().collect();
         self.servers.retain(|server, _| named.contains(server));
@@ -132,37 +132,39 @@
         }
     }
 
-    /// Books that a sidecar was asked; silence counts from the oldest question without an answer, so
-    /// that asking rarely is not taken for silence.
+    /// Records that a sidecar was polled. Silence is measured from the oldest unanswered poll, so
+    /// that a long polling interval is not mistaken for silence.
     pub fn asked(&mut self, now: Instant, server: &Server) {
-        if let Some(seen) = self.servers.get_mut(server) {
-            seen.unanswered.get_or_insert(now);
+        if let Some(record) = self.servers.get_mut(server) {
+            record.unanswered.get_or_insert(now);
         }
     }
 
-    /// Takes a heartbeat. Returns `true` when the sidecar is a new run: what the earlier run held
-    /// is gone.
+    /// Records a heartbeat. Returns `true` when the sidecar has restarted, which means that it has
+    /// lost the requests that it held.
     pub fn heard(&mut self, now: Instant, server: &Server, beat: Heartbeat) -> bool {
-        let seen = self.servers.entry(server.clone()).or_default();
-        let restarted = seen.heard.is_some() && seen.last.incarnation != beat.incarnation;
-        seen.last = beat;
-        seen.heard = Some(now);
-        seen.unanswered = None;
-        seen.refused = false;
+        let record = self.servers.entry(server.clone()).or_default();
+        let restarted = record.received.is_some() && record.last.incarnation != beat.incarnation;
+        record.last = beat;
+        record.received = Some(now);
+        record.unanswered = None;
+        record.refused = false;
         restarted
     }
 
-    /// Takes word that a new connection was refused: stronger than silence.
+    /// Records that a new connection was refused; the server counts as down until its next
+    /// heartbeat.
     pub fn refused(&mut self, server: &Server) {
-        if let Some(seen) = self.servers.get_mut(server) {
-            seen.refused = true;
+        if let Some(record) = self.servers.get_mut(server) {
+            record.refused = true;
         }
     }
 
-    /// Takes the VM list; it lags, so that it marks leavers and neither kills nor revives.
+    /// Applies the VM list. The list lags, so it only marks leaving servers; it never marks a server
+    /// as down or up.
     pub fn set_vms(&mut self, leaving: &BTreeSet<Server>) {
-        for (server, seen) in &mut self.servers {
-            seen.vm = if leaving.contains(server) {
+        for (server, record) in &mut self.servers {
+            record.vm = if leaving.contains(server) {
                 Vm::Leaving
             } else {
                 Vm::Unknown
@@ -170,36 +172,38 @@
         }
     }
 
-    /// Returns the last heartbeat of a backend server.
+    /// Returns the latest heartbeat of a backend server.
     #[must_use]
     pub fn last(&self, server: &Server) -> Option<&Heartbeat> {
-        let seen = self.servers.get(server)?;
-        seen.heard.map(|_| &seen.last)
+        let record = self.servers.get(server)?;
+        record.received.map(|_| &record.last)
     }
 
-    /// Returns how old the last heartbeat is.
+    /// Returns the age of the latest heartbeat.
     #[must_use]
     pub fn age(&self, now: Instant, server: &Server) -> Option<Span> {
         self.servers
             .get(server)?
-            .heard
-            .map(|heard| now.since(heard))
+            .received
+            .map(|received| now.since(received))
     }
 
-    /// Returns one backend server's state.
+    /// Returns the state of a backend server.
     #[must_use]
     pub fn state(&self, now: Instant, server: &Server) -> State {
-        let Some(seen) = self.servers.get(server) else {
+        let Some(record) = self.servers.get(server) else {
             return State::Down;
         };
-        if seen.heard.is_none() {
+        if record.received.is_none() {
             return State::Down;
         }
-        let silence = seen.unanswered.map_or(Span(0), |asked| now.since(asked));
-        if seen.refused || !seen.last.healthy || silence > self.settings.down_after {
+        let silence = record
+            .unanswered
+            .map_or(Span(0), |polled| now.since(polled));
+        if record.refused || !record.last.healthy || silence > self.settings.down_after {
             return State::Down;
         }
-        if seen.last.draining || seen.vm == Vm::Leaving {
+        if record.last.draining || record.vm == Vm::Leaving {
             return State::Draining;
         }
         if silence > self.settings.suspect_after {
@@ -208,11 +212,11 @@
         State::Up
     }
 
-    /// Returns those of a service's backend servers that may get new work.
+    /// Returns the backend servers of a service that may get new work.
     ///
-    /// When nearly all fall silent at once, the fault is most likely on this side. Ejecting them
-    /// would refuse every request on evidence that a single cut cable explains; so below the floor
-    /// silence alone is not believed, while refused connections and drains still are.
+    /// When most servers fall silent at once, the likely cause is a network fault of this entry, and
+    /// excluding them would refuse every request. Below `floor_percent`, servers that are only silent
+    /// are therefore included; draining, unhealthy and refusing servers stay excluded.
     #[must_use]
     pub fn usable(&self, now: Instant, service: &[Server]) -> BTreeSet<Server> {
         let up = |server: &&Server| self.state(now, server) == State::Up;
@@ -229,10 +233,10 @@
     }
 
     fn is_only_silent(&self, server: &Server) -> bool {
-        let Some(seen) = self.servers.get(server) else {
+        let Some(record) = self.servers.get(server) else {
             return false;
         };
-        let leaving = seen.last.draining || seen.vm == Vm::Leaving;
-        seen.heard.is_some() && seen.last.healthy && !seen.refused && !leaving
+        let leaving = record.last.draining || record.vm == Vm::Leaving;
+        record.received.is_some() && record.last.healthy && !record.refused && !leaving
     }
 }
