--- a/crates/core/src/blackboard.rs
+++ b/crates/core/src/blackboard.rs
@@ -178,7 +178,7 @@
     }
 
     fn target(&self, server: &Server) -> Option<Target> {
-        let beat = self.membership.last(server)?;
+        let beat = self.membership.last_heartbeat(server)?;
         Some(Target {
             server: server.clone(),
             address: self.bundle.servers.get(server)?.address.clone(),
@@ -204,7 +204,11 @@
             Some(solved) => solved.table.clone(),
             None => self.solve(service, candidates, fleet),
         };
-        let held = |server: &Server| self.membership.last(server).map_or(0, |beat| beat.held);
+        let held = |server: &Server| {
+            self.membership
+                .last_heartbeat(server)
+                .map_or(0, |beat| beat.held)
+        };
         Arc::new(table.with_loads(held))
     }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -102,9 +102,9 @@
 /// # use jujube_core::time::Instant;
 /// let mut membership = Membership::new(Settings::default());
 /// let beat = Heartbeat { healthy: true, ..Heartbeat::default() };
-/// membership.heard(Instant(0), &"a".into(), beat);
+/// membership.record_heartbeat(Instant(0), &"a".into(), beat);
 /// assert_eq!(membership.state(Instant(50), &"a".into()), State::Up);
-/// membership.asked(Instant(100), &"a".into());
+/// membership.record_poll(Instant(100), &"a".into());
 /// assert_eq!(membership.state(Instant(5_000), &"a".into()), State::Down);
 /// ```
 #[derive(Clone, Debug)]
@@ -134,7 +134,7 @@
 
     /// Records that a sidecar was polled. Silence is measured from the oldest unanswered poll, so
     /// that a long polling interval is not mistaken for silence.
-    pub fn asked(&mut self, now: Instant, server: &Server) {
+    pub fn record_poll(&mut self, now: Instant, server: &Server) {
         if let Some(record) = self.servers.get_mut(server) {
             record.unanswered.get_or_insert(now);
         }
@@ -142,7 +142,7 @@
 
     /// Records a heartbeat. Returns `true` when the sidecar has restarted, which means that it has
     /// lost the requests that it held.
-    pub fn heard(&mut self, now: Instant, server: &Server, beat: Heartbeat) -> bool {
+    pub fn record_heartbeat(&mut self, now: Instant, server: &Server, beat: Heartbeat) -> bool {
         let record = self.servers.entry(server.clone()).or_default();
         let restarted = record.received.is_some() && record.last.incarnation != beat.incarnation;
         record.last = beat;
@@ -154,7 +154,7 @@
 
     /// Records that a new connection was refused; the server counts as down until its next
     /// heartbeat.
-    pub fn refused(&mut self, server: &Server) {
+    pub fn record_refusal(&mut self, server: &Server) {
         if let Some(record) = self.servers.get_mut(server) {
             record.refused = true;
         }
@@ -162,7 +162,7 @@
 
     /// Applies the VM list. The list lags, so it only marks leaving servers; it never marks a server
     /// as down or up.
-    pub fn set_vms(&mut self, leaving: &BTreeSet<Server>) {
+    pub fn set_leaving(&mut self, leaving: &BTreeSet<Server>) {
         for (server, record) in &mut self.servers {
             record.vm = if leaving.contains(server) {
                 Vm::Leaving
@@ -174,14 +174,14 @@
 
     /// Returns the latest heartbeat of a backend server.
     #[must_use]
-    pub fn last(&self, server: &Server) -> Option<&Heartbeat> {
+    pub fn last_heartbeat(&self, server: &Server) -> Option<&Heartbeat> {
         let record = self.servers.get(server)?;
         record.received.map(|_| &record.last)
     }
 
     /// Returns the age of the latest heartbeat.
     #[must_use]
-    pub fn age(&self, now: Instant, server: &Server) -> Option<Span> {
+    pub fn heartbeat_age(&self, now: Instant, server: &Server) -> Option<Span> {
         self.servers
             .get(server)?
             .received
@@ -223,7 +223,7 @@
         let usable: BTreeSet<Server> = service.iter().filter(up).cloned().collect();
         let known = service
             .iter()
-            .filter(|server| self.last(server).is_some())
+            .filter(|server| self.last_heartbeat(server).is_some())
             .count();
         if usable.len() * 100 >= known * self.settings.floor_percent {
             return usable;
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -32,7 +32,7 @@
     let mut membership = Membership::new(Settings::default());
     membership.set_servers(servers.iter().cloned());
     for server in servers {
-        membership.heard(Instant(0), server, beat(1));
+        membership.record_heartbeat(Instant(0), server, beat(1));
     }
     membership
 }
@@ -47,14 +47,14 @@
     let servers = names(10);
     let mut membership = all_heard(&servers);
     for server in &servers[2..] {
-        membership.asked(Instant(100), server);
+        membership.record_poll(Instant(100), server);
     }
-    membership.refused(&servers[9]);
+    membership.record_refusal(&servers[9]);
     let draining = Heartbeat {
         draining: true,
         ..beat(1)
     };
-    membership.heard(Instant(100), &servers[8], draining);
+    membership.record_heartbeat(Instant(100), &servers[8], draining);
 
     let usable = membership.usable(Instant(10_000), &servers);
 
@@ -65,12 +65,12 @@
 fn silence_of_a_few_is_believed() {
     let servers = names(10);
     let mut membership = all_heard(&servers);
-    membership.asked(Instant(100), &servers[0]);
+    membership.record_poll(Instant(100), &servers[0]);
 
     let suspect = membership.state(Instant(300), &servers[0]);
     let down = membership.state(Instant(600), &servers[0]);
     let usable = membership.usable(Instant(600), &servers);
-    membership.heard(Instant(700), &servers[0], beat(1));
+    membership.record_heartbeat(Instant(700), &servers[0], beat(1));
     let back = membership.state(Instant(700), &servers[0]);
 
     assert_eq!(suspect, State::Suspect);
@@ -85,7 +85,7 @@
     let mut membership = all_heard(&servers);
 
     let long_after = membership.state(Instant(60_000), &servers[0]);
-    membership.asked(Instant(60_000), &servers[0]);
+    membership.record_poll(Instant(60_000), &servers[0]);
     let just_asked = membership.state(Instant(60_010), &servers[0]);
 
     assert_eq!(long_after, State::Up);
@@ -97,9 +97,9 @@
 fn vm_list_marks_leavers_only() {
     let servers = names(3);
     let mut membership = all_heard(&servers);
-    membership.asked(Instant(100), &servers[1]);
+    membership.record_poll(Instant(100), &servers[1]);
 
-    membership.set_vms(&BTreeSet::from([servers[0].clone()]));
+    membership.set_leaving(&BTreeSet::from([servers[0].clone()]));
 
     assert_eq!(membership.state(Instant(900), &servers[0]), State::Draining);
     assert_eq!(membership.state(Instant(900), &servers[1]), State::Down);
@@ -111,8 +111,8 @@
     let servers = names(1);
     let mut membership = all_heard(&servers);
 
-    let same = membership.heard(Instant(10), &servers[0], beat(1));
-    let other = membership.heard(Instant(20), &servers[0], beat(2));
+    let same = membership.record_heartbeat(Instant(10), &servers[0], beat(1));
+    let other = membership.record_heartbeat(Instant(20), &servers[0], beat(2));
 
     assert!(!same);
     assert!(other);
--- a/crates/entry/src/control/mod.rs
+++ b/crates/entry/src/control/mod.rs
@@ -95,7 +95,7 @@
             News::Beat(server, answer) => self.beat(server, answer),
             News::Config(config) => self.apply(config),
             News::Delta(delta) => self.apply_delta(&delta),
-            News::Vms(leaving) => self.board.membership.set_vms(&leaving),
+            News::Vms(leaving) => self.board.membership.set_leaving(&leaving),
         }
     }
 
@@ -143,14 +143,14 @@
             Ok(answer) => {
                 let generation = answer.generation;
                 let beat = Heartbeat::from(answer);
-                if self.board.membership.heard(now, &server, beat) {
+                if self.board.membership.record_heartbeat(now, &server, beat) {
                     log::info!("event=sidecar-restarted server={server}");
                     self.state.tell_all_down(&server);
                     self.changed = true;
                 }
                 self.spread(&server, generation);
             }
-            Err(Error::Refused) => self.board.membership.refused(&server),
+            Err(Error::Refused) => self.board.membership.record_refusal(&server),
             Err(Error::Silent) => {}
         }
     }
@@ -191,7 +191,7 @@
     /// Returns how many entries share the backend servers, by what these say.
     fn entries(&self) -> u64 {
         let servers = self.board.members.keys();
-        let beats = servers.filter_map(|server| self.board.membership.last(server));
+        let beats = servers.filter_map(|server| self.board.membership.last_heartbeat(server));
         beats.map(|beat| beat.entries).max().unwrap_or(1).max(1)
     }
 
@@ -215,7 +215,7 @@
                 continue;
             }
             self.asked.insert(server.clone(), now);
-            self.board.membership.asked(now, server);
+            self.board.membership.record_poll(now, server);
             let new = || Peer::new(member.address.clone(), PATIENCE);
             let peer = self.peers.entry(server.clone()).or_insert_with(new).clone();
             let ask = Ask {
@@ -264,7 +264,7 @@
 
     fn describe(&self, now: Instant) -> serde_json::Value {
         let servers = self.board.members.iter().map(|(server, member)| {
-            let beat = self.board.membership.last(server);
+            let beat = self.board.membership.last_heartbeat(server);
             let state = self.board.membership.state(now, server);
             json!({
                 "server": server,
--- a/crates/load/src/slopes/control.rs
+++ b/crates/load/src/slopes/control.rs
@@ -184,7 +184,7 @@
                 healthy: true,
                 ..Heartbeat::default()
             };
-            membership.heard(Instant(1), name, beat);
+            membership.record_heartbeat(Instant(1), name, beat);
         }
         let took = shortest(5, || {
             let states = names
