--- a/crates/core/src/head.rs
+++ b/crates/core/src/head.rs
@@ -1,4 +1,4 @@
-//! The head: which bundle is in force, in one order that only grows.
+//! The head: the record of which bundle is in force, ordered by generation.
 
 use std::sync::Arc;
 
@@ -16,70 +16,71 @@
 use crate::number::numbers;
 
 numbers! {
-    /// The number of an accepted configuration; it only grows, a roll-back included.
+    /// The number of an accepted configuration. It always increases, also with a roll-back.
     Generation;
 }
 
-/// The record that a roll-out or roll-back swaps in.
+/// The record that a roll-out or roll-back stores by compare-and-swap.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Head {
-    /// One more than the head before.
+    /// One more than the generation of the previous head.
     pub generation: Generation,
     /// The digest of the bundle in force.
     pub bundle: String,
-    /// Who did it.
+    /// The operator who made the change.
     pub operator: Arc<str>,
-    /// Why.
+    /// The reason for the change.
     pub reason: Arc<str>,
-    /// Drawn for this swap: after a lost answer the operator's tool knows its own record by it.
+    /// A random value by which the operator's tool recognizes its own record after a lost response.
     pub nonce: String,
-    /// When, in milliseconds of the Unix epoch, by the operator's clock; for people only.
+    /// The time of the change in milliseconds since the Unix epoch, by the operator's clock; for
+    /// information only.
     pub at: u64,
-    /// The digest of the record before: the audit trail is a chain.
+    /// The digest of the previous head, which makes the audit trail a hash chain.
     pub previous: String,
-    /// The operator's signature over all of the above.
+    /// The operator's signature over all other fields.
     pub signature: Option<Signature>,
 }
 
-/// A head with the bundle that it names: what processes pass to each other.
+/// A head with its bundle, as processes exchange it.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Which one.
+    /// The head.
     pub head: Head,
-    /// The text and its signatures.
+    /// The text of the bundle and its signatures.
     pub signed: Signed,
 }
 
-/// Why a configuration was not taken.
+/// Why a configuration was rejected.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ConfigError {
-    /// Not newer than what is in force.
+    /// The configuration is not newer than the one in force.
     #[error("generation {offered} is not newer than {in_force}, which is in force")]
     NotNewer {
-        /// What came.
+        /// The generation that was offered.
         offered: Generation,
-        /// What stays.
+        /// The generation in force.
         in_force: Generation,
     },
-    /// The head's signature is missing or bad.
+    /// The head's signature is invalid.
     #[error("head: {0}")]
     Head(SignatureError),
     /// The head's signature is missing.
     #[error("head: not signed by an operator")]
     Unsigned,
-    /// The bundle's signatures are missing or bad.
+    /// The bundle's signatures are missing or invalid.
     #[error("bundle: {0}")]
     Bundle(#[from] SignatureError),
-    /// The head names another bundle.
-    #[error("the head names bundle {0}, this one is another")]
+    /// The head refers to another bundle.
+    #[error("the head refers to bundle {0}, which is not the one offered")]
     Mismatch(String),
-    /// The text does not hold.
+    /// The text of the bundle has faults.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Faults(Vec<Fault>),
 }
 
 impl Head {
-    /// Returns the digest that the operator signs and the next head refers to.
+    /// Returns the digest that the operator signs and that the next head contains.
     ///
     /// # Examples
     ///
@@ -100,12 +101,12 @@
             self.at.to_string(),
             self.previous.clone(),
         ];
-        // Lengths in front keep two different records from giving the same text.
+        // Length prefixes prevent two different records from having the same digest.
         let framed: Vec<String> = fields.iter().map(|f| format!("{}:{f}", f.len())).collect();
         bundle::digest(&framed.join(","))
     }
 
-    /// Returns the same head, signed.
+    /// Returns the head with a signature.
     #[must_use]
     pub fn signed(mut self, secret: &[u8; 32]) -> Self {
         self.signature = Some(bundle::sign(secret, &self.digest()));
@@ -113,15 +114,15 @@
     }
 }
 
-/// Checks a configuration against what is in force and returns the bundle to apply.
+/// Validates a configuration and returns the bundle to apply.
 ///
-/// Peers pass configurations on while the key-value service is away, so an older one may arrive
-/// long after a newer one: a process that woke from a pause offers what it slept on. Comparing the
-/// generation here, in the one place through which every configuration comes in, is enough.
+/// Peers exchange configurations directly while the key-value service is unavailable, so an older
+/// one may arrive long after a newer one, for example from a process that was paused. Every
+/// configuration passes through this function, which rejects it unless its generation is newer.
 ///
 /// # Errors
 ///
-/// It is not newer, not signed as it must be, or does not hold.
+/// Returns an error when the configuration is not newer, lacks valid signatures or has faults.
 pub fn accept(in_force: Generation, config: &Config, trust: &Trust) -> Result<Bundle, ConfigError> {
     let offered = config.head.generation;
     if offered <= in_force {
