--- a/crates/core/src/delta.rs
+++ b/crates/core/src/delta.rs
@@ -1,9 +1,8 @@
-//! Differences between configurations, so that a change costs its own size on the wire.
+//! Differences between configurations.
 //!
-//! A fleet's bundle is over a megabyte and changes thousands of times a day; sent whole, the changes
-//! alone would take twenty times the bytes that control may use. Only the sections that changed
-//! travel. What comes out is checked by the same signatures as a whole bundle, so that a wrong base
-//! or a damaged difference cannot get into force.
+//! A bundle is large and changes often; sending it in full for every change would exceed the
+//! bandwidth for control traffic, so only the changed sections are sent. The result is verified by
+//! the signatures of the full text, so that a wrong base or a corrupted delta is never applied.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -28,24 +27,24 @@
         /// Number of sections.
         count: usize,
     },
-    /// Text that the older one does not have.
+    /// Sections that the older text does not contain.
     Insert(String),
 }
 
-/// A configuration as a difference from an earlier one.
+/// A configuration, encoded as the difference from an earlier one.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The generation that it starts from.
+    /// The generation of the configuration that it applies to.
     pub base: Generation,
-    /// The head that it leads to.
+    /// The head of the newer configuration.
     pub head: Head,
     /// The signatures of the newer text.
     pub signatures: Vec<Signature>,
-    /// The newer text.
+    /// The hunks that make up the newer text.
     pub pieces: Vec<Hunk>,
 }
 
-/// Splits a text before each section's header; what is put together again is the same text.
+/// Splits a text before each section header; concatenating the parts restores the text.
 fn sections(text: &str) -> Vec<&str> {
     let mut sections = Vec::new();
     let mut start = 0;
@@ -78,28 +77,32 @@
     #[must_use]
     pub fn between(older: &Config, newer: &Config) -> Self {
         let old = sections(&older.signed.text);
-        let places: HashMap<&str, usize> = old.iter().enumerate().map(|(i, s)| (*s, i)).collect();
-        let mut pieces = Vec::new();
+        let positions: HashMap<&str, usize> =
+            old.iter().enumerate().map(|(i, s)| (*s, i)).collect();
+        let mut hunks = Vec::new();
         for section in sections(&newer.signed.text) {
-            let place = places.get(section).copied();
-            match (pieces.last_mut(), place) {
-                (Some(Hunk::Keep { first, count }), Some(place)) if *first + *count == place => {
+            let position = positions.get(section).copied();
+            match (hunks.last_mut(), position) {
+                (Some(Hunk::Keep { first, count }), Some(position))
+                    if *first + *count == position =>
+                {
                     *count += 1;
                 }
                 (Some(Hunk::Insert(text)), None) => text.push_str(section),
-                (_, Some(first)) => pieces.push(Hunk::Keep { first, count: 1 }),
-                (_, None) => pieces.push(Hunk::Insert(section.to_string())),
+                (_, Some(first)) => hunks.push(Hunk::Keep { first, count: 1 }),
+                (_, None) => hunks.push(Hunk::Insert(section.to_string())),
             }
         }
         Self {
             base: older.head.generation,
             head: newer.head.clone(),
             signatures: newer.signed.signatures.clone(),
-            pieces,
+            pieces: hunks,
         }
     }
 
-    /// Returns the newer configuration; `None` when this does not start from `older`.
+    /// Returns the newer configuration, or `None` when `older` is not the base of this delta or a
+    /// hunk is out of range.
     #[must_use]
     pub fn apply(&self, older: &Config) -> Option<Config> {
         if older.head.generation != self.base {
@@ -126,15 +129,15 @@
     }
 }
 
-/// The configuration in force and a few before it.
+/// The configuration in force and its predecessors, up to a limit.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Oldest first.
+    /// The configurations, oldest first.
     configs: VecDeque<Arc<Config>>,
 }
 
-/// How many configurations are kept: at eight changes a minute, whoever is a heartbeat or two behind.
-const KEPT: usize = 4;
+/// The number of configurations to keep: peers are a few heartbeats behind at most.
+const MAX_CONFIGS: usize = 4;
 
 impl History {
     /// Returns the configuration in force.
@@ -150,15 +153,15 @@
             .map_or(Generation(0), |config| config.head.generation)
     }
 
-    /// Adds a configuration that was accepted.
+    /// Adds an accepted configuration.
     pub fn push(&mut self, config: Arc<Config>) {
         self.configs.push_back(config);
-        if self.configs.len() > KEPT {
+        if self.configs.len() > MAX_CONFIGS {
             self.configs.pop_front();
         }
     }
 
-    /// Returns what somebody at an earlier generation lacks; `None` when that is too long ago.
+    /// Returns the delta from an earlier generation, or `None` when that is no longer kept.
     #[must_use]
     pub fn since(&self, generation: Generation) -> Option<Delta> {
         let base = self
