--- a/crates/core/src/blackboard.rs
+++ b/crates/core/src/blackboard.rs
@@ -1,5 +1,5 @@
-//! The blackboard: the state that the control thread's controllers read and write, and the
-//! immutable snapshot that traffic threads read.
+//! The blackboard: the shared state of the controllers on the control thread, and the immutable
+//! snapshot of it that traffic threads read.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,33 +27,33 @@
 use crate::subset::subset;
 use crate::time::Instant;
 
-/// Where a plain service's backend server takes calls.
+/// A backend server of a plain service that can be called.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
     /// The backend server.
     pub server: Server,
-    /// Where its sidecar answers control calls.
+    /// The address of its sidecar for control calls.
     pub address: Arc<str>,
-    /// Where its sidecar takes HTTP.
+    /// The address of its sidecar for HTTP.
     pub http: Arc<str>,
-    /// The run of the sidecar that the call is meant for.
+    /// The incarnation of the sidecar that a call is addressed to.
     pub sidecar: Incarnation,
-    /// Requests that it last said it holds.
+    /// The number of requests that it holds, by its latest heartbeat.
     pub held: u64,
 }
 
-/// What traffic threads see; it is replaced, never changed.
+/// The state that traffic threads read. A snapshot is replaced as a whole, never modified.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// The configuration in force.
+    /// The generation of the configuration in force.
     pub generation: Generation,
-    /// Its content.
+    /// The bundle of the configuration in force.
     pub bundle: Arc<Bundle>,
-    /// Customers by the digest of an API key.
+    /// The customers by digest of an API key.
     pub keys: Arc<BTreeMap<Arc<str>, Customer>>,
-    /// By model.
+    /// The routing table of each model.
     pub models: BTreeMap<Service, Arc<Table>>,
-    /// By plain service.
+    /// The usable targets of each plain service.
     pub plain: BTreeMap<Service, Vec<Target>>,
     /// Backend servers that may get new work.
     pub usable: BTreeSet<Server>,
@@ -62,31 +62,32 @@
 /// The state of an entry's control thread.
 #[derive(Debug)]
 pub struct Blackboard {
-    /// The keys that sign configurations.
+    /// The keys that may sign configurations.
     pub trust: Trust,
-    /// The configuration in force and a few before, as peers pass them on.
+    /// The configuration in force and its predecessors, for exchange with peers.
     pub history: History,
-    /// Its content.
+    /// The bundle of the configuration in force.
     pub bundle: Arc<Bundle>,
-    /// The backend servers of the bundle that this entry speaks to.
+    /// The backend servers of the bundle that this entry connects to.
     pub members: Arc<BTreeMap<Server, Member>>,
-    /// Who is there.
+    /// The states of these backend servers.
     pub membership: Membership,
     entry: Incarnation,
     subset: subset::Settings,
     keys: Arc<BTreeMap<Arc<str>, Customer>>,
-    solved: BTreeMap<Service, Solved>,
+    solutions: BTreeMap<Service, Solution>,
 }
 
-/// A solved flow and what it was solved for.
+/// A solved table with its inputs.
 #[derive(Debug)]
-struct Solved {
+struct Solution {
     candidates: Vec<Candidate>,
     fleet: Fleet,
     table: Arc<Table>,
 }
 
-/// Seconds between tokens that slots are reckoned with; see `docs/PATHS.md`.
+/// Seconds between tokens of one request, for converting slots to a token rate; see
+/// `docs/PATHS.md`.
 const TOKEN_SECONDS: f64 = 0.032;
 
 impl Blackboard {
@@ -120,7 +121,7 @@
             entry,
             subset,
             keys: Arc::default(),
-            solved: BTreeMap::new(),
+            solutions: BTreeMap::new(),
         }
     }
 
@@ -130,22 +131,23 @@
         self.history.generation()
     }
 
-    /// Applies a configuration if it is newer and holds.
+    /// Applies a configuration if it is newer and valid.
     ///
     /// # Errors
     ///
-    /// See [`ConfigError`]; what is in force stays.
+    /// See [`ConfigError`]; the configuration in force stays unchanged.
     pub fn apply(&mut self, config: Config) -> Result<(), ConfigError> {
         let bundle = accept(self.generation(), &config, &self.trust)?;
         self.members = Arc::new(subset(&bundle, self.entry, &self.subset));
         self.membership.set_servers(self.members.keys().cloned());
-        self.keys = Arc::new(index(&bundle));
+        self.keys = Arc::new(index_keys(&bundle));
         self.bundle = Arc::new(bundle);
         self.history.push(Arc::new(config));
         Ok(())
     }
 
-    /// Returns a snapshot for the traffic threads, solving again what has changed.
+    /// Returns a snapshot for the traffic threads and recomputes the tables whose inputs have
+    /// changed.
     pub fn snapshot(&mut self, now: Instant) -> Snapshot {
         let mut snapshot = Snapshot {
             generation: self.generation(),
@@ -172,7 +174,7 @@
             }
             snapshot.usable.extend(usable);
         }
-        self.solved
+        self.solutions
             .retain(|service, _| bundle.services.contains_key(service));
         snapshot
     }
@@ -188,8 +190,8 @@
         })
     }
 
-    /// Returns a model's table; it is solved again only when its own part of the fleet has changed,
-    /// not for every generation.
+    /// Returns the table of a model. The flow is solved again only when the candidates or the links
+    /// have changed, not for every generation.
     fn table(&mut self, service: &Service, usable: &BTreeSet<Server>) -> Arc<Table> {
         let members = self
             .members
@@ -198,10 +200,10 @@
         let candidates = members.map(|(server, member)| candidate(&self.bundle, server, member, 0));
         let candidates: Vec<Candidate> = candidates.collect();
         let fleet = fleet(&self.bundle, service);
-        let solved = self.solved.get(service);
-        let same = solved.filter(|s| s.candidates == candidates && s.fleet == fleet);
-        let table = match same {
-            Some(solved) => solved.table.clone(),
+        let solution = self.solutions.get(service);
+        let unchanged = solution.filter(|s| s.candidates == candidates && s.fleet == fleet);
+        let table = match unchanged {
+            Some(solution) => solution.table.clone(),
             None => self.solve(service, candidates, fleet),
         };
         let held = |server: &Server| {
@@ -214,24 +216,24 @@
 
     fn solve(&mut self, service: &Service, candidates: Vec<Candidate>, fleet: Fleet) -> Arc<Table> {
         let table = Arc::new(Table::build(candidates.clone(), fleet.clone()));
-        let solved = Solved {
+        let solution = Solution {
             candidates,
             fleet,
             table: table.clone(),
         };
-        self.solved.insert(service.clone(), solved);
+        self.solutions.insert(service.clone(), solution);
         table
     }
 }
 
-fn index(bundle: &Bundle) -> BTreeMap<Arc<str>, Customer> {
+fn index_keys(bundle: &Bundle) -> BTreeMap<Arc<str>, Customer> {
     let customers = bundle.customers.iter();
     let keys = customers
         .flat_map(|(name, tenant)| tenant.keys.iter().map(|key| (key.clone(), name.clone())));
     keys.collect()
 }
 
-/// Returns a backend server of a bundle as a candidate.
+/// Converts a backend server of a bundle to a candidate.
 #[must_use]
 pub fn candidate(bundle: &Bundle, server: &Server, member: &Member, others: u64) -> Candidate {
     let capacity = bundle.accelerators.get(&member.accelerator);
@@ -247,20 +249,20 @@
     }
 }
 
-/// Returns what a bundle says of a model, for the bound; without the groups.
+/// Returns the parameters of a model for computing the bound, without the groups.
 #[must_use]
 pub fn fleet(bundle: &Bundle, service: &Service) -> Fleet {
     let offer = bundle.services.get(service).cloned().unwrap_or_default();
-    let both = bundle.links.iter().flat_map(|((one, other), link)| {
-        let there = (one.clone(), other.clone(), link.bytes);
-        let back = (other.clone(), one.clone(), link.bytes);
-        [there, back]
+    let links = bundle.links.iter().flat_map(|((one, other), link)| {
+        let forward = (one.clone(), other.clone(), link.bytes);
+        let backward = (other.clone(), one.clone(), link.bytes);
+        [forward, backward]
     });
     Fleet {
         layers: offer.layers,
         activation_bytes: offer.activation_bytes,
         token_seconds: TOKEN_SECONDS,
         groups: Vec::new(),
-        links: both.collect(),
+        links: links.collect(),
     }
 }
