--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission: who starts, who waits, and who is refused at once.
+//! Admission control: decides which requests start, wait or are refused.
 
 mod queue;
 
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! Weighted fair queues by customer inside priorities that age.
+//! Weighted fair queueing by customer within priorities, with aging.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,14 +16,14 @@
     Ticket;
 }
 
-/// How a queue is run.
+/// The parameters of a queue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// How many requests run at a time.
+    /// The maximum number of running requests.
     pub slots: u64,
-    /// Waiting this long lifts a request by one priority.
+    /// The time without service after which a customer's requests gain one priority level.
     pub age_step: Span,
-    /// What one request is taken to last before any has ended.
+    /// The assumed duration of a request before any has finished.
     pub first_guess: Span,
 }
 
@@ -37,29 +37,29 @@
     }
 }
 
-/// A customer's claim on a queue.
+/// The terms on which a customer's request is queued.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Share {
-    /// Who.
+    /// The customer.
     pub customer: Customer,
-    /// Its weight; 0 counts as 1.
+    /// The weight of the customer; 0 counts as 1.
     pub weight: u64,
-    /// The most that it may have running and waiting.
+    /// The maximum number of its running and waiting requests.
     pub limit: u64,
-    /// The priority of the service: smaller goes first.
+    /// The priority of the service; smaller values go first.
     pub priority: u64,
-    /// The longest that the request may wait.
+    /// The maximum time that the request may wait.
     pub max_wait: Span,
 }
 
-/// What became of an arrival.
+/// The decision on an arriving request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It starts now.
+    /// The request starts now.
     Start,
-    /// It waits; `pop` will name it, or `expire` will.
+    /// The request waits until [`Queue::pop`] or [`Queue::expire`] returns it.
     Wait,
-    /// It is refused now, with when to come back.
+    /// The request is refused, with the time after which to retry.
     Refuse(Arc<Refusal>),
 }
 
@@ -72,17 +72,17 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Line {
+struct Flow {
     weight: u64,
     running: u64,
-    /// The customer's virtual time: service received over weight.
+    /// The virtual time: service received divided by the weight.
     virtual_time: u64,
     waiting: VecDeque<Waiting>,
     /// When a request of this customer last started.
     served: Instant,
 }
 
-/// Weight one pays this much virtual time for a request.
+/// The virtual time of one request at weight 1.
 const VIRTUAL_UNIT: u64 = 1 << 20;
 
 /// The queue of one service at one entry.
@@ -115,10 +115,10 @@
     settings: Settings,
     running: u64,
     waiting: u64,
-    /// What one request lasts, smoothed, in microseconds.
-    lasts: u64,
+    /// The moving average of the duration of a request.
+    mean_micros: u64,
     virtual_now: u64,
-    lines: BTreeMap<Customer, Line>,
+    flows: BTreeMap<Customer, Flow>,
 }
 
 impl Queue {
@@ -129,37 +129,40 @@
             settings,
             running: 0,
             waiting: 0,
-            lasts: settings.first_guess.0 * 1000,
+            mean_micros: settings.first_guess.0 * 1000,
             virtual_now: 0,
-            lines: BTreeMap::new(),
+            flows: BTreeMap::new(),
         }
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running(&self) -> u64 {
         self.running
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> u64 {
         self.waiting
     }
 
-    /// Sets how many requests run at a time.
+    /// Sets the maximum number of running requests.
     pub fn set_slots(&mut self, slots: u64) {
         self.settings.slots = slots;
     }
 
-    /// Takes an arrival.
+    /// Starts, queues or refuses an arriving request.
     pub fn arrive(&mut self, now: Instant, ticket: Ticket, share: &Share) -> Decision {
-        let predicted = self.predict(share);
+        let predicted = self.predict_wait(share);
         let free = self.running < self.settings.slots && self.waiting == 0;
-        let line = self.lines.entry(share.customer.clone()).or_default();
-        line.weight = share.weight.max(1);
-        if line.running + line.waiting.len() as u64 >= share.limit {
-            return overloaded("the customer's limit is reached", Span(self.lasts / 1000));
+        let flow = self.flows.entry(share.customer.clone()).or_default();
+        flow.weight = share.weight.max(1);
+        if flow.running + flow.waiting.len() as u64 >= share.limit {
+            return overloaded(
+                "the customer's limit is reached",
+                Span(self.mean_micros / 1000),
+            );
         }
         if free {
             self.start(now, &share.customer);
@@ -169,9 +172,9 @@
             let excess = Span(predicted.0 - share.max_wait.0);
             return overloaded("the wait would outlast what the service allows", excess);
         }
-        // A customer that was idle does not save up its share.
-        line.virtual_time = line.virtual_time.max(self.virtual_now);
-        line.waiting.push_back(Waiting {
+        // An idle customer accumulates no credit.
+        flow.virtual_time = flow.virtual_time.max(self.virtual_now);
+        flow.waiting.push_back(Waiting {
             ticket,
             since: now,
             deadline: now.plus(share.max_wait),
@@ -183,44 +186,44 @@
 
     /// Predicts the wait of a customer's next request.
     ///
-    /// Its own line moves at its share of all slots, whatever the others send: a flood by one
-    /// customer must not make the others' requests look hopeless.
-    fn predict(&self, share: &Share) -> Span {
-        let own = self.lines.get(&share.customer);
-        let ahead = own.map_or(0, |line| line.waiting.len() as u64) + 1;
+    /// The prediction uses the customer's own queue and its weighted share of the slots, so that a
+    /// flood by one customer does not cause the requests of others to be refused.
+    fn predict_wait(&self, share: &Share) -> Span {
+        let own = self.flows.get(&share.customer);
+        let ahead = own.map_or(0, |flow| flow.waiting.len() as u64) + 1;
         let others = self
-            .lines
+            .flows
             .iter()
-            .filter(|(c, l)| **c != share.customer && l.is_active());
+            .filter(|(customer, flow)| **customer != share.customer && flow.is_active());
         let weight = share.weight.max(1);
-        let total: u64 = others.map(|(_, line)| line.weight).sum::<u64>() + weight;
-        let micros = ahead * self.lasts * total / (weight * self.settings.slots.max(1));
+        let total: u64 = others.map(|(_, flow)| flow.weight).sum::<u64>() + weight;
+        let micros = ahead * self.mean_micros * total / (weight * self.settings.slots.max(1));
         Span(micros / 1000)
     }
 
     fn start(&mut self, now: Instant, customer: &Customer) {
         self.running += 1;
-        let Some(line) = self.lines.get_mut(customer) else {
+        let Some(flow) = self.flows.get_mut(customer) else {
             return;
         };
-        line.running += 1;
-        line.served = now;
-        line.virtual_time = line.virtual_time.max(self.virtual_now);
-        self.virtual_now = line.virtual_time;
-        line.virtual_time += VIRTUAL_UNIT / line.weight;
+        flow.running += 1;
+        flow.served = now;
+        flow.virtual_time = flow.virtual_time.max(self.virtual_now);
+        self.virtual_now = flow.virtual_time;
+        flow.virtual_time += VIRTUAL_UNIT / flow.weight;
     }
 
-    /// Books the end of a running request; how long it lasted, if it ended well.
-    pub fn finish(&mut self, customer: &Customer, lasted: Option<Span>) {
+    /// Records the end of a running request, with its duration if it succeeded.
+    pub fn finish(&mut self, customer: &Customer, duration: Option<Span>) {
         const SMOOTHING: u64 = 8;
         self.running = self.running.saturating_sub(1);
-        if let Some(lasted) = lasted {
-            self.lasts = (self.lasts * (SMOOTHING - 1) + lasted.0 * 1000) / SMOOTHING;
+        if let Some(duration) = duration {
+            self.mean_micros = (self.mean_micros * (SMOOTHING - 1) + duration.0 * 1000) / SMOOTHING;
         }
-        if let Some(line) = self.lines.get_mut(customer) {
-            line.running = line.running.saturating_sub(1);
+        if let Some(flow) = self.flows.get_mut(customer) {
+            flow.running = flow.running.saturating_sub(1);
         }
-        self.forget(customer);
+        self.remove_idle(customer);
     }
 
     /// Returns the next request to start, if a slot is free.
@@ -229,40 +232,41 @@
             return None;
         }
         let ready = self
-            .lines
+            .flows
             .iter()
-            .filter(|(_, line)| !line.waiting.is_empty());
-        let ranked = ready.map(|(customer, line)| (self.rank(now, line), customer));
+            .filter(|(_, flow)| !flow.waiting.is_empty());
+        let ranked = ready.map(|(customer, flow)| (self.rank(now, flow), customer));
         let customer = ranked.min()?.1.clone();
-        let first = self.lines.get_mut(&customer)?.waiting.pop_front()?;
+        let first = self.flows.get_mut(&customer)?.waiting.pop_front()?;
         self.waiting -= 1;
         self.start(now, &customer);
         Some(first.ticket)
     }
 
-    /// Ranks a line: priority less age, then virtual time. Smaller goes first.
+    /// Returns the sort key of a flow: the priority reduced by aging, then the virtual time. Smaller
+    /// keys go first.
     ///
-    /// Age counts from when the customer was last served. Were it to count from the arrival, a flood
-    /// would age while it waits for itself, and outrank customers who send a request now and then.
-    fn rank(&self, now: Instant, line: &Line) -> (u64, u64) {
-        let first = line.waiting.front();
-        let lifted = first.map_or(u64::MAX, |waiting| {
-            let unserved = now.since(waiting.since.max(line.served));
+    /// Aging counts from the last start of a request of the customer, not only from the arrival.
+    /// Otherwise a flood would age in its own queue and outrank customers that send few requests.
+    fn rank(&self, now: Instant, flow: &Flow) -> (u64, u64) {
+        let first = flow.waiting.front();
+        let priority = first.map_or(u64::MAX, |waiting| {
+            let unserved = now.since(waiting.since.max(flow.served));
             let steps = unserved.0 / self.settings.age_step.0.max(1);
             waiting.priority.saturating_sub(steps)
         });
-        (lifted, line.virtual_time)
+        (priority, flow.virtual_time)
     }
 
-    /// Takes out the requests whose wait has become too long; they are refused at once.
+    /// Removes the requests that have reached their deadline and returns them with their refusals.
     pub fn expire(&mut self, now: Instant) -> Vec<(Ticket, Arc<Refusal>)> {
-        let lasts = Span(self.lasts / 1000);
+        let mean = Span(self.mean_micros / 1000);
         let mut expired = Vec::new();
-        for line in self.lines.values_mut() {
-            line.waiting.retain(|waiting| {
+        for flow in self.flows.values_mut() {
+            flow.waiting.retain(|waiting| {
                 let keep = now < waiting.deadline;
                 if !keep {
-                    expired.push((waiting.ticket, refusal("the wait became too long", lasts)));
+                    expired.push((waiting.ticket, refusal("the wait became too long", mean)));
                 }
                 keep
             });
@@ -271,30 +275,31 @@
         expired
     }
 
-    /// Takes out a waiting request whose caller is gone; `false` when it does not wait.
+    /// Removes a waiting request whose caller has disconnected. Returns `false` when it is not
+    /// waiting.
     pub fn cancel(&mut self, customer: &Customer, ticket: Ticket) -> bool {
-        let Some(line) = self.lines.get_mut(customer) else {
+        let Some(flow) = self.flows.get_mut(customer) else {
             return false;
         };
-        let before = line.waiting.len();
-        line.waiting.retain(|waiting| waiting.ticket != ticket);
-        let found = line.waiting.len() < before;
+        let before = flow.waiting.len();
+        flow.waiting.retain(|waiting| waiting.ticket != ticket);
+        let found = flow.waiting.len() < before;
         self.waiting -= u64::from(found);
-        self.forget(customer);
+        self.remove_idle(customer);
         found
     }
 
-    /// Forgets a line that is idle and owes nothing: the lines must not grow with every customer
-    /// ever seen.
-    fn forget(&mut self, customer: &Customer) {
-        let idle = |line: &Line| !line.is_active() && line.virtual_time <= self.virtual_now;
-        if self.lines.get(customer).is_some_and(idle) {
-            self.lines.remove(customer);
+    /// Removes an idle flow whose virtual time has been reached, so that the number of flows does not
+    /// grow with every customer ever seen.
+    fn remove_idle(&mut self, customer: &Customer) {
+        let idle = |flow: &Flow| !flow.is_active() && flow.virtual_time <= self.virtual_now;
+        if self.flows.get(customer).is_some_and(idle) {
+            self.flows.remove(customer);
         }
     }
 }
 
-impl Line {
+impl Flow {
     fn is_active(&self) -> bool {
         self.running > 0 || !self.waiting.is_empty()
     }
