--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -24,7 +24,7 @@
     /// The time without service after which a customer's requests gain one priority level.
     pub age_step: Span,
     /// The assumed duration of a request before any has finished.
-    pub first_guess: Span,
+    pub initial_duration: Span,
 }
 
 impl Default for Settings {
@@ -32,7 +32,7 @@
         Self {
             slots: 64,
             age_step: Span(2_000),
-            first_guess: Span(500),
+            initial_duration: Span(500),
         }
     }
 }
@@ -129,7 +129,7 @@
             settings,
             running: 0,
             waiting: 0,
-            mean_micros: settings.first_guess.0 * 1000,
+            mean_micros: settings.initial_duration.0 * 1000,
             virtual_now: 0,
             flows: BTreeMap::new(),
         }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -31,7 +31,7 @@
 fn queue(slots: u64) -> Queue {
     Queue::new(Settings {
         slots,
-        first_guess: Span(LASTS),
+        initial_duration: Span(LASTS),
         ..Settings::default()
     })
 }
--- a/crates/front/src/waiting.rs
+++ b/crates/front/src/waiting.rs
@@ -48,7 +48,7 @@
     fn default() -> Self {
         let settings = Settings {
             slots: 0,
-            first_guess: FIRST_GUESS,
+            initial_duration: FIRST_GUESS,
             ..Settings::default()
         };
         Self {
