--- a/crates/core/src/path/mod.rs
+++ b/crates/core/src/path/mod.rs
@@ -1,4 +1,4 @@
-//! Paths through stages: their form, the achievable bound, and the choice.
+//! Paths through stages: routes, the achievable bound and path selection.
 
 mod bound;
 mod choose;
--- a/crates/core/src/path/route.rs
+++ b/crates/core/src/path/route.rs
@@ -1,4 +1,4 @@
-//! A route: which stages run which layers of one request.
+//! The route of one request: the stages and the layers that each runs.
 
 use std::sync::Arc;
 
@@ -13,23 +13,23 @@
 pub struct Stage {
     /// The backend server.
     pub server: Server,
-    /// Where its sidecar listens.
+    /// The address of its sidecar.
     pub address: Arc<str>,
-    /// The layers that it runs for this request, all within those that its engine holds.
+    /// The layers that it runs for this request, a subset of those that its engine holds.
     pub layers: Range,
 }
 
-/// The stages of one request, in order, and where the tokens go.
+/// The stages of one request and the address to which the tokens are sent.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Where the entry listens for tokens.
+    /// The address at which the entry receives tokens.
     pub entry: Arc<str>,
-    /// In layer order.
+    /// The stages in layer order.
     pub stages: Vec<Stage>,
 }
 
 impl Route {
-    /// Tells whether the stages run each layer of `[0, layers)` once and in order.
+    /// Returns whether the stages run each layer of `[0, layers)` exactly once and in order.
     ///
     /// # Examples
     ///
@@ -49,7 +49,7 @@
         next == layers && !self.stages.is_empty()
     }
 
-    /// Returns the index of a backend server's stage.
+    /// Returns the index of the stage that a backend server runs.
     #[must_use]
     pub fn index_of(&self, server: &Server) -> Option<usize> {
         self.stages.iter().position(|stage| &stage.server == server)
--- a/crates/core/src/path/table.rs
+++ b/crates/core/src/path/table.rs
@@ -1,4 +1,4 @@
-//! What traffic threads choose from: an immutable snapshot for each model.
+//! The routing table of a model: an immutable snapshot from which traffic threads choose paths.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,44 +16,44 @@
 /// A backend server that may be chosen.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its name.
+    /// The name of the server.
     pub server: Server,
-    /// Where its sidecar listens.
+    /// The address of its sidecar.
     pub address: Arc<str>,
-    /// Where it is.
+    /// Its availability zone.
     pub zone: Zone,
     /// Its accelerator.
     pub accelerator: Accelerator,
     /// The layers that it holds.
     pub layers: Range,
-    /// Layer-tokens a second.
+    /// Layer-tokens per second.
     pub speed: u64,
-    /// Requests that it can hold.
+    /// The maximum number of requests that it can hold.
     pub slots: u64,
-    /// Requests that it last said it holds, those of this entry left out.
+    /// The number of requests of other entries that it holds, by its latest report.
     pub others: u64,
 }
 
-/// One model's candidates, grouped, with the best flow.
+/// The candidates of one model by group, with the optimal flow.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     /// The model's layers.
     pub layers: u32,
-    /// All candidates; those of one group are neighbours.
+    /// All candidates; those of one group are contiguous.
     pub candidates: Vec<Candidate>,
-    /// By group: the candidates' places in `candidates`.
+    /// For each group, the range of its members in `candidates`.
     pub members: Vec<std::ops::Range<usize>>,
-    /// The paths to follow, with their rates.
+    /// The paths of the optimal flow, with their rates.
     pub flows: Vec<Flow>,
-    /// The bound.
+    /// The bound in tokens per second.
     pub rate: f64,
 }
 
 impl Table {
-    /// Groups candidates and solves for the best flow.
+    /// Groups the candidates and solves for the optimal flow.
     ///
-    /// `fleet` gives everything but the groups. When the solver fails there are no flows and the
-    /// rate is 0; the candidates are there all the same, and paths are then found by cover.
+    /// The groups in `fleet` are replaced. When the solver fails, the table has no flows and its rate
+    /// is 0; [`Chooser`](super::Chooser) then covers the layers with candidates directly.
     ///
     /// # Examples
     ///
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the same table with fresh loads and the old flow: loads change with every heartbeat,
+    /// Returns the table with updated loads and the same flow: loads change with every heartbeat,
     /// the flow only with the fleet.
     #[must_use]
     pub fn with_loads(&self, others: impl Fn(&Server) -> u64) -> Self {
@@ -97,29 +97,29 @@
     }
 }
 
-type Grouped = (Vec<Candidate>, Vec<std::ops::Range<usize>>, Vec<Group>);
+type Groups = (Vec<Candidate>, Vec<std::ops::Range<usize>>, Vec<Group>);
 
-fn group(candidates: Vec<Candidate>) -> Grouped {
+fn group(candidates: Vec<Candidate>) -> Groups {
     let mut by_kind: BTreeMap<(Zone, Accelerator, Range), Vec<Candidate>> = BTreeMap::new();
     for candidate in candidates {
         let zone = candidate.zone.clone();
         let kind = (zone, candidate.accelerator.clone(), candidate.layers);
         by_kind.entry(kind).or_default().push(candidate);
     }
-    let mut flat = Vec::new();
+    let mut sorted = Vec::new();
     let mut members = Vec::new();
     let mut groups = Vec::new();
-    for ((zone, accelerator, layers), like) in by_kind {
-        members.push(flat.len()..flat.len() + like.len());
+    for ((zone, accelerator, layers), group) in by_kind {
+        members.push(sorted.len()..sorted.len() + group.len());
         groups.push(Group {
             zone,
             accelerator,
             layers,
-            servers: like.len() as u64,
-            layer_tokens: like.iter().map(|c| c.speed).sum(),
-            slots: like.iter().map(|c| c.slots).sum(),
+            servers: group.len() as u64,
+            layer_tokens: group.iter().map(|c| c.speed).sum(),
+            slots: group.iter().map(|c| c.slots).sum(),
         });
-        flat.extend(like);
+        sorted.extend(group);
     }
-    (flat, members, groups)
+    (sorted, members, groups)
 }
