--- a/crates/core/src/path/link.rs
+++ b/crates/core/src/path/link.rs
@@ -1,22 +1,21 @@
-//! What is measured of one link, with hysteresis.
+//! Latency estimation for a link, with hysteresis.
 
 use crate::time::Span;
 
-/// Whether a link is used at its full weight.
+/// The health of a link.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Health {
-    /// As configured.
+    /// The latency is near its long-term average.
     #[default]
     Good,
-    /// Much slower than it was.
+    /// The latency is far above its long-term average.
     Degraded,
 }
 
-/// A smoothed latency that compares itself with its own past.
+/// An estimate of latency from a short-term and a long-term moving average.
 ///
-/// Routing by the latest sample would move traffic back and forth with the noise, unattended, all
-/// night. A link is degraded only when the short average is many times the long one, and good again
-/// only when it has come back near it.
+/// A link is degraded when the short-term average is many times the long-term one, and good again
+/// when it is close to it. The hysteresis prevents routes from oscillating with measurement noise.
 ///
 /// # Examples
 ///
@@ -44,38 +43,38 @@
 
 const SHORT_WEIGHT: f64 = 0.3;
 const LONG_WEIGHT: f64 = 0.01;
-const WARM_UP: u64 = 10;
+const MIN_SAMPLES: u64 = 10;
 const DEGRADED_FACTOR: f64 = 8.0;
 const GOOD_FACTOR: f64 = 2.0;
-/// Below this the clock's grain and the scheduler hide any difference.
-const FLOOR_MILLIS: f64 = 5.0;
+/// Below this, clock resolution and scheduling delays dominate.
+const MIN_REFERENCE_MILLIS: f64 = 5.0;
 
 impl Estimate {
-    /// Takes a round trip.
-    pub fn sample(&mut self, took: Span) {
-        let took = took.0 as f64;
+    /// Adds a round-trip time.
+    pub fn sample(&mut self, round_trip: Span) {
+        let millis = round_trip.0 as f64;
         self.samples += 1;
         if self.samples == 1 {
-            self.short = took;
-            self.long = took;
+            self.short = millis;
+            self.long = millis;
             return;
         }
-        self.short += SHORT_WEIGHT * (took - self.short);
-        // The past must not learn from the trouble that it is there to recognise.
+        self.short += SHORT_WEIGHT * (millis - self.short);
+        // A slow link must not raise the average that it is compared with.
         if self.health == Health::Good {
             let weight = LONG_WEIGHT.max(1.0 / self.samples as f64);
-            let calm = took.min(self.reference() * GOOD_FACTOR);
-            self.long += weight * (calm - self.long);
+            let clamped = millis.min(self.reference() * GOOD_FACTOR);
+            self.long += weight * (clamped - self.long);
         }
-        self.judge();
+        self.update_health();
     }
 
     fn reference(&self) -> f64 {
-        self.long.max(FLOOR_MILLIS)
+        self.long.max(MIN_REFERENCE_MILLIS)
     }
 
-    fn judge(&mut self) {
-        if self.samples < WARM_UP {
+    fn update_health(&mut self) {
+        if self.samples < MIN_SAMPLES {
             return;
         }
         if self.short > self.reference() * DEGRADED_FACTOR {
@@ -85,13 +84,13 @@
         }
     }
 
-    /// Returns whether the link is degraded.
+    /// Returns the health of the link.
     #[must_use]
     pub fn health(&self) -> Health {
         self.health
     }
 
-    /// Returns how many times slower than before the link is; at least 1.
+    /// Returns the ratio of the short-term to the long-term average, at least 1.
     #[must_use]
     pub fn slowdown(&self) -> f64 {
         (self.short / self.reference()).max(1.0)
