--- a/crates/core/src/path/bound.rs
+++ b/crates/core/src/path/bound.rs
@@ -1,9 +1,10 @@
-//! The achievable bound: the highest token rate that any router could reach.
+//! The achievable bound: the maximum token rate that any router could reach.
 //!
-//! A state is a boundary between layers in an availability zone. A group of like backend servers
-//! moves tokens from one boundary to a later one and pays layer-tokens; a link moves them between
-//! zones and pays bytes. The highest flow from the first boundary to the last is a linear program,
-//! because a stage may run part of what it holds and its time is shared over all parts.
+//! The bound is a maximum flow, computed by a linear program. A node of the network is a boundary
+//! between layers in an availability zone. A group of identical backend servers moves tokens from
+//! one boundary to a later one, at a cost in layer-tokens; a link moves them between zones, at a
+//! cost in bytes. A plain maximum-flow algorithm does not apply, because a stage may run part of its
+//! layers and shares its time among all parts.
 
 use std::collections::BTreeSet;
 
@@ -17,63 +18,63 @@
 use crate::name::Accelerator;
 use crate::name::Zone;
 
-/// Backend servers that are alike.
+/// A group of identical backend servers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Group {
-    /// Where they are.
+    /// Their availability zone.
     pub zone: Zone,
     /// Their accelerator.
     pub accelerator: Accelerator,
     /// The layers that each holds.
     pub layers: Range,
-    /// How many they are.
+    /// The number of servers.
     pub servers: u64,
-    /// Layer-tokens a second of all of them.
+    /// Layer-tokens per second of all servers together.
     pub layer_tokens: u64,
-    /// Requests that all of them can hold; the cache memory in other words.
+    /// The maximum number of requests that all servers together can hold in cache memory.
     pub slots: u64,
 }
 
-/// What the bound is computed of: one model's backend servers and links.
+/// The input of the bound: the backend servers of one model and the links between them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
-    /// The model's layers.
+    /// The number of layers of the model.
     pub layers: u32,
-    /// Bytes of one activation.
+    /// The size of one activation in bytes.
     pub activation_bytes: u64,
-    /// Seconds between tokens of one request at the design point; a slot is held that long for each
-    /// token (Little's law).
+    /// Seconds between tokens of one request. A slot is held that long for each token, which limits
+    /// the rate by Little's law; 0 disables this limit.
     pub token_seconds: f64,
-    /// All groups.
+    /// The groups of backend servers.
     pub groups: Vec<Group>,
-    /// Links that limit, in bytes a second, one direction each; a missing pair does not limit.
+    /// The capacities of directed links in bytes per second; a missing pair is unlimited.
     pub links: Vec<(Zone, Zone, u64)>,
 }
 
-/// A part of the best flow: a sequence of groups and the layers that each runs.
+/// One path of the optimal flow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Flow {
-    /// Index of the group, and the layers that it runs.
+    /// The index of each group on the path and the layers that it runs.
     pub steps: Vec<(usize, Range)>,
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: f64,
 }
 
 /// The bound and a flow that reaches it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Bound {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: f64,
     /// Paths whose rates add up to the bound.
     pub flows: Vec<Flow>,
 }
 
-/// The solver gave no answer.
+/// The solver failed.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("the linear program was not solved: {0}")]
 pub struct BoundError(String);
 
-/// An arc of the flow network with its variable.
+/// An arc of the flow network with its variable in the linear program.
 struct Arc {
     from: (u32, usize),
     to: (u32, usize),
@@ -86,7 +87,8 @@
 ///
 /// # Errors
 ///
-/// The solver fails; an empty or uncovered fleet is no error, its bound is 0.
+/// Returns an error when the solver fails. The bound of a fleet without a complete path is 0, which
+/// is not an error.
 ///
 /// # Examples
 ///
@@ -111,7 +113,7 @@
     let mut program = Program::new(fleet);
     program.add_stages();
     program.add_links();
-    program.conserve();
+    program.conserve_flow();
     program.limit_groups();
     program.limit_links();
     program.solve()
@@ -142,14 +144,14 @@
         }
     }
 
-    fn add(&mut self, from: (u32, usize), to: (u32, usize), group: Option<usize>) {
-        // Only what reaches the last boundary counts, and only stages do.
-        let gain = if group.is_some() && to.0 == self.fleet.layers {
+    fn add_arc(&mut self, from: (u32, usize), to: (u32, usize), group: Option<usize>) {
+        // The objective is the flow that stages deliver to the last boundary.
+        let coefficient = if group.is_some() && to.0 == self.fleet.layers {
             1.0
         } else {
             0.0
         };
-        let variable = self.problem.add_var(gain, (0.0, f64::INFINITY));
+        let variable = self.problem.add_var(coefficient, (0.0, f64::INFINITY));
         self.arcs.push(Arc {
             from,
             to,
@@ -169,41 +171,40 @@
             let held: Vec<u32> = self.boundaries.iter().filter(held).copied().collect();
             for (i, start) in held.iter().enumerate() {
                 for end in &held[i + 1..] {
-                    self.add((*start, zone), (*end, zone), Some(index));
+                    self.add_arc((*start, zone), (*end, zone), Some(index));
                 }
             }
         }
     }
 
     fn add_links(&mut self) {
-        let inner: Vec<u32> = self.boundaries.clone();
-        for boundary in inner {
+        for boundary in self.boundaries.clone() {
             if boundary == 0 || boundary == self.fleet.layers {
                 continue;
             }
             for from in 0..self.zones.len() {
                 for to in 0..self.zones.len() {
                     if from != to {
-                        self.add((boundary, from), (boundary, to), None);
+                        self.add_arc((boundary, from), (boundary, to), None);
                     }
                 }
             }
         }
     }
 
-    /// What comes to an inner state leaves it.
-    fn conserve(&mut self) {
+    /// Constrains the flow into every inner node to equal the flow out of it.
+    fn conserve_flow(&mut self) {
         for boundary in &self.boundaries {
             if *boundary == 0 || *boundary == self.fleet.layers {
                 continue;
             }
             for zone in 0..self.zones.len() {
-                let state = (*boundary, zone);
+                let node = (*boundary, zone);
                 let mut balance = LinearExpr::empty();
-                for arc in self.arcs.iter().filter(|arc| arc.from == state) {
+                for arc in self.arcs.iter().filter(|arc| arc.from == node) {
                     balance.add(arc.variable, -1.0);
                 }
-                for arc in self.arcs.iter().filter(|arc| arc.to == state) {
+                for arc in self.arcs.iter().filter(|arc| arc.to == node) {
                     balance.add(arc.variable, 1.0);
                 }
                 self.problem.add_constraint(balance, ComparisonOp::Eq, 0.0);
@@ -255,20 +256,21 @@
             .solve()
             .map_err(|e| BoundError(e.to_string()))?;
         let solution = outcome.solution();
-        let solution = solution.ok_or_else(|| BoundError("stopped early".into()))?;
+        let solution = solution.ok_or_else(|| BoundError("the solver stopped early".into()))?;
         for arc in &mut self.arcs {
             arc.rate = solution.var_value(arc.variable).max(0.0);
         }
         let rate = solution.objective();
-        let flows = self.peel();
+        let flows = self.decompose();
         Ok(Bound { rate, flows })
     }
 
-    /// Takes the flow apart into paths: the widest arc out of each state, until nothing is left.
-    fn peel(&mut self) -> Vec<Flow> {
-        const NOTHING: f64 = 1e-6;
+    /// Decomposes the flow into paths. Each path follows the arc with the highest rate out of every
+    /// node, until no flow remains.
+    fn decompose(&mut self) -> Vec<Flow> {
+        const MIN_RATE: f64 = 1e-6;
         let mut flows = Vec::new();
-        while let Some(path) = self.widest(NOTHING) {
+        while let Some(path) = self.widest_path(MIN_RATE) {
             let rate = path
                 .iter()
                 .map(|i| self.arcs[*i].rate)
@@ -286,23 +288,23 @@
         flows
     }
 
-    fn widest(&self, nothing: f64) -> Option<Vec<usize>> {
-        let open = |arc: &Arc| arc.rate > nothing;
+    fn widest_path(&self, min_rate: f64) -> Option<Vec<usize>> {
+        let carries_flow = |arc: &Arc| arc.rate > min_rate;
         let by_rate = |a: &usize, b: &usize| self.arcs[*a].rate.total_cmp(&self.arcs[*b].rate);
-        let indices = || (0..self.arcs.len()).filter(|i| open(&self.arcs[*i]));
+        let indices = || (0..self.arcs.len()).filter(|i| carries_flow(&self.arcs[*i]));
         let first = indices()
             .filter(|i| self.arcs[*i].from.0 == 0)
             .max_by(by_rate)?;
         let mut path = vec![first];
-        let mut state = self.arcs[first].to;
-        // A flow may run in a circle between zones at no gain; the bound on steps ends it.
-        let most = self.boundaries.len() * (self.zones.len() + 1);
-        while state.0 != self.fleet.layers && path.len() <= most {
-            let next = indices().filter(|i| self.arcs[*i].from == state);
+        let mut node = self.arcs[first].to;
+        // The solution may contain cycles between zones, which add nothing to the rate.
+        let max_steps = self.boundaries.len() * (self.zones.len() + 1);
+        while node.0 != self.fleet.layers && path.len() <= max_steps {
+            let next = indices().filter(|i| self.arcs[*i].from == node);
             let next = next.max_by(by_rate)?;
             path.push(next);
-            state = self.arcs[next].to;
+            node = self.arcs[next].to;
         }
-        (state.0 == self.fleet.layers).then_some(path)
+        (node.0 == self.fleet.layers).then_some(path)
     }
 }
