--- a/crates/core/src/path/choose.rs
+++ b/crates/core/src/path/choose.rs
@@ -1,4 +1,4 @@
-//! Choosing the stages of one request.
+//! Selection of the stages of one request.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -12,17 +12,17 @@
 use crate::layer::Range;
 use crate::name::Server;
 
-/// How paths are chosen. All but [`Policy::Flow`] are the naive versions to compare with.
+/// The policy of path selection. All policies except [`Policy::Flow`] are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Policy {
-    /// By the flow's weights, corrected by what is in flight.
+    /// Paths in proportion to the rates of the optimal flow, servers by their load.
     #[default]
     Flow,
-    /// Any backend server that holds the next layer.
+    /// A random backend server that holds the next layer.
     Random,
-    /// Each backend server that holds the next layer in turn.
+    /// The backend servers that hold the next layer, in turn.
     RoundRobin,
-    /// The one with the fewest requests in flight.
+    /// The backend server with the fewest requests in flight.
     LeastInFlight,
 }
 
@@ -40,12 +40,12 @@
     }
 }
 
-/// How a chooser works.
+/// The settings of a chooser.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// The policy.
+    /// The policy of path selection.
     pub policy: Policy,
-    /// How many members of a group are compared; all of them when it is 0.
+    /// The number of random members of a group whose loads are compared; 0 means all members.
     pub compared: usize,
 }
 
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Chooser {
     settings: Settings,
-    /// Smooth weighted round robin: what each flow is owed.
+    /// The current weight of each flow for smooth weighted round robin.
     credits: Vec<f64>,
     in_flight: BTreeMap<Server, u64>,
     turn: usize,
@@ -90,13 +90,13 @@
         }
     }
 
-    /// Returns how many requests of this entry a backend server has in flight.
+    /// Returns the number of requests of this entry in flight at a backend server.
     #[must_use]
     pub fn in_flight(&self, server: &Server) -> u64 {
         self.in_flight.get(server).copied().unwrap_or(0)
     }
 
-    /// Chooses stages for all layers and books them as in flight.
+    /// Chooses stages for all layers and records them as in flight.
     pub fn choose(
         &mut self,
         table: &Table,
@@ -107,15 +107,15 @@
             Policy::Flow => self.by_flow(table, excluded, random),
             _ => None,
         };
-        let whole = Range::new(0, table.layers);
-        let stages = stages.or_else(|| self.cover(table, whole, excluded, random))?;
+        let all_layers = Range::new(0, table.layers);
+        let stages = stages.or_else(|| self.cover(table, all_layers, excluded, random))?;
         self.begin(&stages);
         Some(stages)
     }
 
-    /// Replaces the excluded stages of a route, keeps the others, and books the new ones.
+    /// Replaces the excluded and unknown stages of a route and records the new route as in flight.
     ///
-    /// Survivors keep their layers: their caches hold exactly these.
+    /// The remaining stages keep their layers, because their caches hold exactly these.
     pub fn repair(
         &mut self,
         table: &Table,
@@ -125,16 +125,16 @@
     ) -> Option<Vec<Stage>> {
         let lost =
             |stage: &Stage| excluded.contains(&stage.server) || table.find(&stage.server).is_none();
-        let mut taken: Vec<Server> = excluded.to_vec();
-        taken.extend(stages.iter().filter(|s| !lost(s)).map(|s| s.server.clone()));
+        let mut unavailable: Vec<Server> = excluded.to_vec();
+        unavailable.extend(stages.iter().filter(|s| !lost(s)).map(|s| s.server.clone()));
         let mut repaired = Vec::new();
         for stage in stages {
             if !lost(stage) {
                 repaired.push(stage.clone());
                 continue;
             }
-            let cover = self.cover(table, stage.layers, &taken, random)?;
-            taken.extend(cover.iter().map(|stage| stage.server.clone()));
+            let cover = self.cover(table, stage.layers, &unavailable, random)?;
+            unavailable.extend(cover.iter().map(|stage| stage.server.clone()));
             repaired.extend(cover);
         }
         self.end(stages);
@@ -142,14 +142,14 @@
         Some(repaired)
     }
 
-    /// Books stages as in flight.
+    /// Records the stages of a request as in flight.
     pub fn begin(&mut self, stages: &[Stage]) {
         for stage in stages {
             *self.in_flight.entry(stage.server.clone()).or_default() += 1;
         }
     }
 
-    /// Books the end of a request's stages.
+    /// Records the end of a request at its stages.
     pub fn end(&mut self, stages: &[Stage]) {
         for stage in stages {
             let Some(count) = self.in_flight.get_mut(&stage.server) else {
@@ -172,14 +172,14 @@
         let steps = flow.steps.iter();
         let stage = |(group, layers): &(usize, Range)| {
             let members = &table.candidates[table.members[*group].clone()];
-            let chosen = self.lightest(members, excluded, random)?;
+            let chosen = self.least_loaded(members, excluded, random)?;
             Some(stage_of(chosen, *layers))
         };
         steps.map(stage).collect()
     }
 
-    /// Returns the flow whose turn it is: smooth weighted round robin spreads each flow's turns
-    /// evenly, where drawing at random would send bursts.
+    /// Returns the index of the next flow by smooth weighted round robin, which avoids the bursts of
+    /// random selection.
     fn next_flow(&mut self, table: &Table) -> Option<usize> {
         if self.credits.len() != table.flows.len() {
             self.credits = vec![0.0; table.flows.len()];
@@ -188,18 +188,18 @@
         for (credit, flow) in self.credits.iter_mut().zip(&table.flows) {
             *credit += flow.rate;
         }
-        let owed = self.credits.iter().enumerate();
-        let (next, _) = owed.max_by(|a, b| a.1.total_cmp(b.1))?;
+        let credits = self.credits.iter().enumerate();
+        let (next, _) = credits.max_by(|a, b| a.1.total_cmp(b.1))?;
         self.credits[next] -= total;
         Some(next)
     }
 
-    /// Compares a few members drawn at random by load over speed.
+    /// Returns the member with the lowest load among a few random ones.
     ///
-    /// Reports are stale and the same for every entry: if each entry took the best of all, all would
-    /// take the same one until the next report. Two drawn at random spread the entries, and what this
-    /// entry has in flight itself is never stale.
-    fn lightest<'a>(
+    /// Load reports are stale and identical for all entries. If every entry chose the best of all
+    /// members, all would herd to the same one until the next report. Comparing a few random members
+    /// spreads the requests, and the count of this entry's own requests is always current.
+    fn least_loaded<'a>(
         &self,
         members: &'a [Candidate],
         excluded: &[Server],
@@ -211,8 +211,8 @@
             return None;
         }
         if compared > 0 && compared < members.len() {
-            let drawn = (0..compared).map(|_| &members[random.random_range(0..members.len())]);
-            let best = drawn
+            let sample = (0..compared).map(|_| &members[random.random_range(0..members.len())]);
+            let best = sample
                 .filter(usable)
                 .min_by(|a, b| self.load(a).total_cmp(&self.load(b)));
             if best.is_some() {
@@ -223,12 +223,13 @@
         usable.min_by(|a, b| self.load(a).total_cmp(&self.load(b)))
     }
 
+    /// Returns the load of a candidate relative to its speed.
     fn load(&self, candidate: &Candidate) -> f64 {
         let held = self.in_flight(&candidate.server) + candidate.others;
         (held + 1) as f64 / candidate.speed.max(1) as f64
     }
 
-    /// Covers a range of layers with the fewest stages.
+    /// Covers a range of layers stage by stage, with the server for each chosen by [`Self::pick`].
     fn cover(
         &mut self,
         table: &Table,
@@ -244,13 +245,13 @@
         while next < range.end {
             let holds = |c: &&Candidate| c.layers.start <= next && next < c.layers.end;
             let usable = |c: &&Candidate| !excluded.contains(&c.server);
-            let able: Vec<&Candidate> = table
+            let eligible: Vec<&Candidate> = table
                 .candidates
                 .iter()
                 .filter(holds)
                 .filter(usable)
                 .collect();
-            let chosen = self.pick(&able, range.end, random)?;
+            let chosen = self.pick(&eligible, range.end, random)?;
             let layers = Range::new(next, chosen.layers.end.min(range.end));
             next = layers.end;
             stages.push(stage_of(chosen, layers));
@@ -260,28 +261,28 @@
 
     fn pick<'a>(
         &mut self,
-        able: &[&'a Candidate],
+        eligible: &[&'a Candidate],
         end: u32,
         random: &mut impl Rng,
     ) -> Option<&'a Candidate> {
-        if able.is_empty() {
+        if eligible.is_empty() {
             return None;
         }
         self.turn += 1;
         match self.settings.policy {
-            Policy::Random => Some(able[random.random_range(0..able.len())]),
-            Policy::RoundRobin => Some(able[self.turn % able.len()]),
-            Policy::LeastInFlight => able
+            Policy::Random => Some(eligible[random.random_range(0..eligible.len())]),
+            Policy::RoundRobin => Some(eligible[self.turn % eligible.len()]),
+            Policy::LeastInFlight => eligible
                 .iter()
                 .copied()
                 .min_by_key(|c| self.in_flight(&c.server)),
             Policy::Flow => {
-                let reach = able.iter().map(|c| c.layers.end.min(end)).max()?;
-                let far = able
+                let reach = eligible.iter().map(|c| c.layers.end.min(end)).max()?;
+                let farthest = eligible
                     .iter()
                     .copied()
                     .filter(|c| c.layers.end.min(end) == reach);
-                far.min_by(|a, b| self.load(a).total_cmp(&self.load(b)))
+                farthest.min_by(|a, b| self.load(a).total_cmp(&self.load(b)))
             }
         }
     }
