--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission under overload.
+//! Tests of admission under overload.
 
 #![allow(
     clippy::unwrap_used,
@@ -16,7 +16,7 @@
 use jujube_core::time::Instant;
 use jujube_core::time::Span;
 
-const LASTS: u64 = 100;
+const SERVICE_MILLIS: u64 = 100;
 
 fn share(customer: &str, priority: u64, max_wait: u64) -> Share {
     Share {
@@ -31,12 +31,12 @@
 fn queue(slots: u64) -> Queue {
     Queue::new(Settings {
         slots,
-        initial_duration: Span(LASTS),
+        initial_duration: Span(SERVICE_MILLIS),
         ..Settings::default()
     })
 }
 
-/// Runs arrivals through a queue whose requests each last 100 ms, and returns each one's wait; none
+/// Simulates a queue whose requests last 100 ms each. Returns the wait of each request, or `None`
 /// when it was refused.
 fn simulate(slots: u64, arrivals: &[(u64, Share)]) -> Vec<Option<u64>> {
     let mut queue = queue(slots);
@@ -46,7 +46,7 @@
     let mut next = 0;
     for now in 0..last {
         for index in running.remove(&now).unwrap_or_default() {
-            queue.finish(&arrivals[index].1.customer, Some(Span(LASTS)));
+            queue.finish(&arrivals[index].1.customer, Some(Span(SERVICE_MILLIS)));
         }
         for (ticket, _) in queue.expire(Instant(now)) {
             waits[ticket.0 as usize] = None;
@@ -65,22 +65,18 @@
         }
         for index in started {
             waits[index] = Some(now - arrivals[index].0);
-            running.entry(now + LASTS).or_default().push(index);
+            running.entry(now + SERVICE_MILLIS).or_default().push(index);
         }
         if next == arrivals.len() && queue.running() == 0 && queue.waiting() == 0 {
             return waits;
         }
     }
-    panic!("the queue did not run empty");
+    panic!("the queue did not drain");
 }
 
-/// The quiet customer waits little, whatever the other sends.
-///
-/// One customer sends 400 requests at once to four slots of 100 ms each; ten seconds of work. The
-/// other sends one every 200 ms. With one line for all it would wait behind the flood for seconds;
-/// with a line for each it waits for the next free slot.
+/// Guards against a flood by one customer that delays the requests of another by seconds.
 #[test]
-fn flood_by_one_customer_leaves_the_others_waits() {
+fn a_flood_by_one_customer_does_not_delay_others() {
     let flood = (0..400).map(|_| (0, share("flood", 1, 1_000_000)));
     let quiet = (0..40).map(|index| (1 + index * 200, share("quiet", 1, 1_000_000)));
     let mut arrivals: Vec<(u64, Share)> = flood.chain(quiet).collect();
@@ -88,13 +84,17 @@
 
     let waits = simulate(4, &arrivals);
 
-    let of = |name: &str| {
+    let max_wait = |name: &str| {
         let pairs = arrivals.iter().zip(&waits);
         let own = pairs.filter(|((_, share), _)| share.customer == name.into());
         own.map(|(_, wait)| wait.expect("served")).max().unwrap()
     };
-    assert!(of("quiet") <= LASTS, "waited {} ms", of("quiet"));
-    assert!(of("flood") > 80 * LASTS);
+    assert!(
+        max_wait("quiet") <= SERVICE_MILLIS,
+        "waited {} ms",
+        max_wait("quiet")
+    );
+    assert!(max_wait("flood") > 80 * SERVICE_MILLIS);
 }
 
 #[test]
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn waits_that_became_too_long_end_at_once() {
+fn waiting_requests_expire_at_their_deadline() {
     let mut queue = queue(1);
     queue.arrive(Instant(0), Ticket(0), &share("a", 1, 300));
     queue.arrive(Instant(0), Ticket(1), &share("a", 1, 300));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn priorities_age() {
+fn waiting_requests_gain_priority() {
     let urgent = (0..200).map(|index| (index * 50, share("urgent", 1, 1_000_000)));
     let patient = std::iter::once((1, share("patient", 2, 1_000_000)));
     let mut arrivals: Vec<(u64, Share)> = urgent.chain(patient).collect();
@@ -140,7 +140,7 @@
 
     let waits = simulate(1, &arrivals);
 
-    // Urgent work fills twice the slot; after one step of 2 s the patient request is its equal.
+    // Urgent requests need twice the capacity. After 2 s the patient request has the same priority.
     let patient = arrivals
         .iter()
         .position(|(_, share)| share.priority == 2)
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn customers_keep_to_their_limit() {
+fn the_limit_of_a_customer_is_enforced() {
     let mut queue = queue(4);
     let small = Share {
         limit: 1,
