--- a/crates/core/tests/bound.rs
+++ b/crates/core/tests/bound.rs
@@ -1,4 +1,4 @@
-//! The bound against brute force, and the flow that reaches it.
+//! Compares the bound with exhaustive search and checks its flow.
 
 #![allow(
     clippy::unwrap_used,
@@ -44,10 +44,10 @@
     }
 }
 
-/// A path: group and layers of each step.
+/// The group and the layers of each step.
 type Path = Vec<(usize, Range)>;
 
-/// Returns every way through the layers.
+/// Returns all paths from a layer to the last one.
 fn paths(groups: &[Group], from: u32) -> Vec<Path> {
     if from == LAYERS {
         return vec![Vec::new()];
@@ -68,40 +68,41 @@
     all
 }
 
-/// What is left of groups and of the two directions of the link.
+/// The residual capacity of the groups and of both directions of the link.
 #[derive(Clone)]
-struct Left {
+struct Residual {
     groups: Vec<u64>,
     links: [u64; 2],
 }
 
-impl Left {
-    /// Takes one token a second along a path, if there is room.
-    fn take(&self, groups: &[Group], path: &Path) -> Option<Self> {
-        let mut left = self.clone();
+impl Residual {
+    /// Returns the capacity after a flow of one token per second on a path, if it fits.
+    fn reserve(&self, groups: &[Group], path: &Path) -> Option<Self> {
+        let mut residual = self.clone();
         for (index, layers) in path {
-            left.groups[*index] = left.groups[*index].checked_sub(u64::from(layers.len()))?;
+            residual.groups[*index] =
+                residual.groups[*index].checked_sub(u64::from(layers.len()))?;
         }
         for pair in path.windows(2) {
             let (from, to) = (&groups[pair[0].0].zone, &groups[pair[1].0].zone);
             if from != to {
                 let direction = usize::from(from < to);
-                left.links[direction] = left.links[direction].checked_sub(1)?;
+                residual.links[direction] = residual.links[direction].checked_sub(1)?;
             }
         }
-        Some(left)
+        Some(residual)
     }
 }
 
-/// Returns the highest whole rate, by trying everything.
-fn brute(groups: &[Group], paths: &[Path], left: &Left) -> u64 {
+/// Returns the maximum whole rate by exhaustive search.
+fn max_whole_rate(groups: &[Group], paths: &[Path], residual: &Residual) -> u64 {
     let Some((first, rest)) = paths.split_first() else {
         return 0;
     };
-    let without = brute(groups, rest, left);
-    let with = left
-        .take(groups, first)
-        .map(|left| 1 + brute(groups, paths, &left));
+    let without = max_whole_rate(groups, rest, residual);
+    let with = residual
+        .reserve(groups, first)
+        .map(|residual| 1 + max_whole_rate(groups, paths, &residual));
     without.max(with.unwrap_or(0))
 }
 
@@ -113,26 +114,26 @@
         ..ProptestConfig::default()
     })]
 
-    /// The flow keeps to every limit, adds up to the bound, and no whole rate beats it.
+    /// Guards against a bound that is too low, or a flow that exceeds a limit or falls short of it.
     #[test]
-    fn bound_is_reached_and_never_beaten(
+    fn the_bound_is_reached_and_never_exceeded(
         groups in proptest::collection::vec(group(), 1..4),
         link in 0..4_u64,
     ) {
         let fleet = fleet(groups.clone(), link);
         let paths = paths(&groups, 0);
-        let left = Left {
+        let residual = Residual {
             groups: groups.iter().map(|group| group.layer_tokens).collect(),
             links: [link; 2],
         };
 
         let bound = bound(&fleet).unwrap();
-        let best = brute(&groups, &paths, &left) as f64;
+        let best = max_whole_rate(&groups, &paths, &residual) as f64;
 
-        const SMALL: f64 = 1e-6;
-        assert!(best <= bound.rate + SMALL, "{best} beats {}", bound.rate);
-        // Rounding a flow down loses less than one token a second on each path that it uses.
-        assert!(bound.rate <= best + bound.flows.len() as f64 + SMALL);
+        const TOLERANCE: f64 = 1e-6;
+        assert!(best <= bound.rate + TOLERANCE, "{best} exceeds {}", bound.rate);
+        // Rounding down loses less than one token per second on each path.
+        assert!(bound.rate <= best + bound.flows.len() as f64 + TOLERANCE);
         let sum: f64 = bound.flows.iter().map(|flow| flow.rate).sum();
         assert!((sum - bound.rate).abs() < 1e-3, "flows {sum}, bound {}", bound.rate);
         for (index, group) in groups.iter().enumerate() {
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn slots_limit_by_littles_law() {
+fn slots_limit_the_rate_by_littles_law() {
     let mut fleet = fleet(Vec::new(), 1);
     fleet.token_seconds = 0.1;
     fleet.groups.push(Group {
@@ -169,6 +170,6 @@
 
     let bound = bound(&fleet).unwrap();
 
-    // Eight requests at a time, each a token in 0.1 s.
+    // Eight concurrent requests, each with a token every 0.1 s.
     assert_eq!(bound.rate.round(), 80.0);
 }
