--- a/crates/core/tests/choose.rs
+++ b/crates/core/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Choosing paths: weights, repairs, and entries that must not chase the same stage.
+//! Tests of path selection: flow weights, repairs and herding of entries.
 
 #![allow(
     clippy::unwrap_used,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn choices_follow_the_flow() {
+fn choices_follow_the_rates_of_the_flow() {
     let table = table(mixed());
     let mut chooser = Chooser::default();
     let mut random = StdRng::seed_from_u64(1);
@@ -64,13 +64,13 @@
         chooser.end(&stages);
     }
 
-    // 800 layer-tokens over 8 layers give 100 tokens a second, two times 100 over 4 give 25.
+    // 800 layer-tokens/s over 8 layers give 100 tokens/s; the slow pair gives 100 / 4 = 25.
     assert_eq!(table.rate.round(), 125.0);
     assert_eq!(through_fast, 800);
 }
 
 #[test]
-fn repair_keeps_survivors_and_covers_the_rest() {
+fn a_repair_keeps_remaining_stages_and_covers_lost_layers() {
     let mut candidates = mixed();
     candidates.push(candidate("spare-1", Range::new(0, 2), 50, 0));
     candidates.push(candidate("spare-2", Range::new(2, 5), 50, 0));
@@ -103,14 +103,14 @@
     assert_eq!(repaired[1].layers, Range::new(2, 4));
 }
 
-/// How many of 40 entries take the same stage on the same stale report.
-fn herd(compared: usize) -> usize {
+/// Returns how many of 40 entries choose the same stage from the same stale report.
+fn herd_size(compared: usize) -> usize {
     const ENTRIES: u64 = 40;
     let whole = Range::new(0, LAYERS);
     let idle = candidate("idle", whole, 100, 0);
     let busy = (0..9).map(|index| candidate(&format!("busy-{index}"), whole, 100, 5));
     let table = table(std::iter::once(idle).chain(busy).collect());
-    let mut taken: BTreeMap<String, usize> = BTreeMap::new();
+    let mut choices: BTreeMap<String, usize> = BTreeMap::new();
     for entry in 0..ENTRIES {
         let settings = Settings {
             compared,
@@ -119,24 +119,21 @@
         let mut chooser = Chooser::new(settings);
         let mut random = StdRng::seed_from_u64(entry);
         let stages = chooser.choose(&table, &[], &mut random).unwrap();
-        *taken.entry(stages[0].server.to_string()).or_default() += 1;
+        *choices.entry(stages[0].server.to_string()).or_default() += 1;
     }
-    taken.values().copied().max().unwrap()
+    choices.values().copied().max().unwrap()
 }
 
-/// Callers see waits at one stage while its neighbours idle.
-///
-/// One stage reports itself idle, nine report five requests each. The report is the same for 40
-/// entries and older than all their choices. Entries that compare all stages take the idle one, all
-/// of them; entries that compare two drawn at random spread out.
+/// Guards against entries that herd to the stage that a stale report shows as idle, which overloads
+/// it while other stages have capacity.
 #[test]
 fn entries_do_not_chase_the_same_idle_stage() {
-    let all_compared = herd(0);
-    let two_compared = herd(Settings::default().compared);
+    let all_compared = herd_size(0);
+    let two_compared = herd_size(Settings::default().compared);
 
     assert_eq!(all_compared, 40);
     assert!(
         two_compared <= 14,
-        "{two_compared} of 40 took the same stage"
+        "{two_compared} of 40 chose the same stage"
     );
 }
