--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: who may get work.
+//! Tests of membership and failure detection.
 
 #![allow(
     clippy::unwrap_used,
@@ -28,7 +28,7 @@
     }
 }
 
-fn all_heard(servers: &[Server]) -> Membership {
+fn all_up(servers: &[Server]) -> Membership {
     let mut membership = Membership::new(Settings::default());
     membership.set_servers(servers.iter().cloned());
     for server in servers {
@@ -37,15 +37,12 @@
     membership
 }
 
-/// Work keeps flowing when an entry is cut off for a moment.
-///
-/// Eight of ten fall silent at once: more likely this entry's own link than eight deaths. Below the
-/// floor silence is not believed, so that requests still have paths; a refused connection and a
-/// drain still are.
+/// Guards against an entry that excludes all servers, and refuses all requests, because its own
+/// network has failed. Refused connections and drains still exclude a server.
 #[test]
-fn silence_of_nearly_all_is_not_believed() {
+fn silence_of_most_servers_excludes_none() {
     let servers = names(10);
-    let mut membership = all_heard(&servers);
+    let mut membership = all_up(&servers);
     for server in &servers[2..] {
         membership.record_poll(Instant(100), server);
     }
@@ -62,41 +59,41 @@
 }
 
 #[test]
-fn silence_of_a_few_is_believed() {
+fn silence_of_a_few_servers_excludes_them() {
     let servers = names(10);
-    let mut membership = all_heard(&servers);
+    let mut membership = all_up(&servers);
     membership.record_poll(Instant(100), &servers[0]);
 
     let suspect = membership.state(Instant(300), &servers[0]);
     let down = membership.state(Instant(600), &servers[0]);
     let usable = membership.usable(Instant(600), &servers);
     membership.record_heartbeat(Instant(700), &servers[0], beat(1));
-    let back = membership.state(Instant(700), &servers[0]);
+    let recovered = membership.state(Instant(700), &servers[0]);
 
     assert_eq!(suspect, State::Suspect);
     assert_eq!(down, State::Down);
     assert_eq!(usable.len(), 9);
-    assert_eq!(back, State::Up);
+    assert_eq!(recovered, State::Up);
 }
 
 #[test]
-fn asking_rarely_is_not_silence() {
+fn a_long_polling_interval_is_not_silence() {
     let servers = names(1);
-    let mut membership = all_heard(&servers);
+    let mut membership = all_up(&servers);
 
     let long_after = membership.state(Instant(60_000), &servers[0]);
     membership.record_poll(Instant(60_000), &servers[0]);
-    let just_asked = membership.state(Instant(60_010), &servers[0]);
+    let just_polled = membership.state(Instant(60_010), &servers[0]);
 
     assert_eq!(long_after, State::Up);
-    assert_eq!(just_asked, State::Up);
+    assert_eq!(just_polled, State::Up);
 }
 
-/// The VM list lags both ways: it neither kills a live backend server nor revives a dead one.
+/// Guards against a stale VM list that marks a live server as down or a dead one as up.
 #[test]
 fn vm_list_marks_leavers_only() {
     let servers = names(3);
-    let mut membership = all_heard(&servers);
+    let mut membership = all_up(&servers);
     membership.record_poll(Instant(100), &servers[1]);
 
     membership.set_leaving(&BTreeSet::from([servers[0].clone()]));
@@ -107,9 +104,9 @@
 }
 
 #[test]
-fn new_run_is_noticed_although_it_never_fell_silent() {
+fn a_restart_is_detected_without_silence() {
     let servers = names(1);
-    let mut membership = all_heard(&servers);
+    let mut membership = all_up(&servers);
 
     let same = membership.record_heartbeat(Instant(10), &servers[0], beat(1));
     let other = membership.record_heartbeat(Instant(20), &servers[0], beat(2));
