--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Which backend servers one entry speaks to.
+//! Tests of the subset of backend servers that one entry connects to.
 
 #![allow(
     clippy::unwrap_used,
@@ -19,7 +19,7 @@
 
 const EACH: usize = 3;
 
-/// Two zones, two ranges, twenty backend servers of each; zone `y` lacks the second range.
+/// Two zones and two ranges of layers with 20 backend servers each; zone `y` lacks the second range.
 fn bundle() -> Bundle {
     let mut text = String::from(
         "[bundle]\nserial = 1\n[accelerator a]\nlayer-tokens = 1\n\
@@ -47,9 +47,9 @@
 }
 
 #[test]
-fn subsets_cover_and_spread() {
+fn subsets_cover_the_model_and_spread_over_servers() {
     let bundle = bundle();
-    let mut taken: BTreeMap<String, usize> = BTreeMap::new();
+    let mut selections: BTreeMap<String, usize> = BTreeMap::new();
 
     for entry in 0..100 {
         let members = subset(&bundle, Incarnation(entry), &settings("x"));
@@ -57,20 +57,20 @@
         assert_eq!(members.len(), 2 * EACH);
         assert_eq!(layer::first_gap(8, &held), None);
         for server in members.keys() {
-            *taken.entry(server.to_string()).or_default() += 1;
+            *selections.entry(server.to_string()).or_default() += 1;
         }
     }
 
-    // 100 entries take 3 of 20 each: 15 expected for every one.
-    assert_eq!(taken.len(), 40);
+    // 100 entries select 3 of 20 servers each, so every server is expected 15 times.
+    assert_eq!(selections.len(), 40);
     assert!(
-        taken.values().all(|count| (4..32).contains(count)),
-        "{taken:?}"
+        selections.values().all(|count| (4..32).contains(count)),
+        "{selections:?}"
     );
 }
 
 #[test]
-fn zones_that_do_not_cover_are_not_enough() {
+fn zones_that_lack_layers_are_extended_to_all_zones() {
     let members = subset(&bundle(), Incarnation(1), &settings("y"));
 
     let held: Vec<Range> = members.values().map(|member| member.layers).collect();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn without_settings_all_are_taken() {
+fn the_default_settings_select_all_servers() {
     let members = subset(&bundle(), Incarnation(1), &Settings::default());
 
     assert_eq!(members.len(), 60);
