--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations: one order, never back, nothing unsigned.
+//! Tests of configurations: monotonic generations, signatures, deltas and invalid input.
 
 #![allow(
     clippy::unwrap_used,
@@ -61,7 +61,7 @@
     }
 }
 
-fn good(generation: u64) -> Config {
+fn valid(generation: u64) -> Config {
     config(generation, &[AUTHOR, REVIEWER], &AUTHOR)
 }
 
@@ -70,14 +70,14 @@
     Blackboard::new(trust(), Settings::default(), Incarnation(1), subset)
 }
 
-/// A process that slept for a minute and wakes offers what it slept on; nobody goes back to it.
+/// Guards against a roll-back to the stale configuration of a process that was paused.
 #[test]
-fn older_configurations_are_refused() {
+fn older_configurations_are_rejected() {
     let mut board = board();
-    board.apply(good(5)).unwrap();
+    board.apply(valid(5)).unwrap();
 
-    let older = board.apply(good(4));
-    let same = board.apply(good(5));
+    let older = board.apply(valid(4));
+    let same = board.apply(valid(5));
 
     assert!(matches!(older, Err(ConfigError::NotNewer { .. })));
     assert!(matches!(same, Err(ConfigError::NotNewer { .. })));
@@ -86,18 +86,18 @@
 }
 
 #[test]
-fn signatures_are_needed_from_two_trusted_people_and_an_operator() {
+fn signatures_of_two_trusted_people_and_an_operator_are_required() {
     let mut board = board();
     let twice = config(1, &[AUTHOR, AUTHOR], &AUTHOR);
     let stranger = config(1, &[AUTHOR, STRANGER], &AUTHOR);
     let alone = config(1, &[AUTHOR], &AUTHOR);
     let head_by_stranger = config(1, &[AUTHOR, REVIEWER], &STRANGER);
-    let mut other_text = good(1);
+    let mut other_text = valid(1);
     other_text.signed.text = text(9).into();
-    let mut other_generation = good(1);
+    let mut other_generation = valid(1);
     other_generation.head.generation = Generation(9);
 
-    for bad in [
+    for invalid in [
         twice,
         stranger,
         alone,
@@ -105,7 +105,7 @@
         other_text,
         other_generation,
     ] {
-        assert!(board.apply(bad.clone()).is_err(), "{bad:?}");
+        assert!(board.apply(invalid.clone()).is_err(), "{invalid:?}");
     }
 
     assert_eq!(board.generation(), Generation(0));
@@ -119,23 +119,23 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever order configurations come in, the generation only grows, and the highest wins.
+    /// In any order of arrival, the generation never decreases and the highest one wins.
     #[test]
-    fn generation_only_grows(offers in proptest::collection::vec(1..9_u64, 1..12)) {
+    fn the_generation_never_decreases(offers in proptest::collection::vec(1..9_u64, 1..12)) {
         let mut board = board();
-        let mut before = Generation(0);
+        let mut previous = Generation(0);
         for generation in &offers {
-            let _refused_when_older = board.apply(good(*generation));
-            assert!(board.generation() >= before);
-            before = board.generation();
+            let _rejected_when_older = board.apply(valid(*generation));
+            assert!(board.generation() >= previous);
+            previous = board.generation();
         }
         assert_eq!(Some(&board.generation().0), offers.iter().max());
         assert_eq!(board.bundle.serial, board.generation().0);
     }
 
-    /// A difference gives the newer text to the letter, from any text to any other.
+    /// A delta between any two texts reproduces the newer one exactly.
     #[test]
-    fn differences_give_the_newer_text(
+    fn deltas_reproduce_the_newer_text(
         older in "(\\[[a-c]\\]\n(x = [0-3]\n){0,2}){0,6}",
         newer in "(\\[[a-c]\\]\n(x = [0-3]\n){0,2}){0,6}",
     ) {
@@ -151,14 +151,14 @@
         assert_eq!(delta.apply(&newer), None);
     }
 
-    /// Bad input of every kind gets an error, never a panic.
+    /// Guards against panics on invalid input.
     #[test]
-    fn garbage_is_refused(text in "\\PC{0,200}", cut in 0..200_usize, at in 0..200_usize) {
-        let _refused = parse(&text);
-        let mut good = self::text(1);
-        good.truncate(cut.min(good.len()));
-        good.insert_str(at.min(good.len()), &text);
-        if let Ok(bundle) = parse(&good) {
+    fn invalid_input_does_not_panic(text in "\\PC{0,200}", cut in 0..200_usize, at in 0..200_usize) {
+        let _result = parse(&text);
+        let mut mutated = self::text(1);
+        mutated.truncate(cut.min(mutated.len()));
+        mutated.insert_str(at.min(mutated.len()), &text);
+        if let Ok(bundle) = parse(&mutated) {
             let _faults = bundle::check(&bundle);
         }
     }
