--- a/crates/core/tests/support/pipeline.rs
+++ b/crates/core/tests/support/pipeline.rs
@@ -12,7 +12,7 @@
 use jujube_core::pipeline::placement::Holder;
 use jujube_core::pipeline::placement::Order;
 
-/// The users' accelerators: memory in MB, pace of a token, pace of reading.
+/// Returns the profile of an accelerator.
 pub fn profile(name: &str) -> Profile {
     let (memory_mb, step_factor, prefill_factor) = match name {
         "a100" => (72_000.0, 2.4, 3.2),
@@ -26,7 +26,7 @@
     }
 }
 
-/// The users' model.
+/// Returns a model with 80 layers.
 pub fn model() -> Model {
     Model {
         layers: 80,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Empty servers of one zone, named by zone, kind and number.
+/// Returns servers of one zone without layers, named by zone, kind and number.
 pub fn holders(zone: &str, counts: &[(&str, usize)]) -> Vec<Holder> {
     let mut holders = Vec::new();
     for (name, count) in counts {
@@ -65,15 +65,15 @@
     holders
 }
 
-/// The three availability zones of both users' deployments.
+/// Returns the servers of a deployment in three availability zones.
 pub fn region() -> Vec<Holder> {
-    let mut all = holders("a", &[("a100", 1), ("l40s", 3), ("l4", 8)]);
-    all.extend(holders("b", &[("a100", 1), ("l40s", 6), ("l4", 5)]));
-    all.extend(holders("c", &[("a100", 2), ("l40s", 2), ("l4", 5)]));
-    all
+    let mut servers = holders("a", &[("a100", 1), ("l40s", 3), ("l4", 8)]);
+    servers.extend(holders("b", &[("a100", 1), ("l40s", 6), ("l4", 5)]));
+    servers.extend(holders("c", &[("a100", 2), ("l40s", 2), ("l4", 5)]));
+    servers
 }
 
-/// The holders once orders are carried out.
+/// Returns the holders after the orders are carried out.
 pub fn carried_out(holders: &[Holder], orders: &[Order]) -> Vec<Holder> {
     let mut holders = holders.to_vec();
     for order in orders {
@@ -85,7 +85,7 @@
     holders
 }
 
-/// The fleet that holders make up.
+/// Returns the fleet of the holders with assigned layers.
 pub fn fleet(model: &Model, holders: &[Holder]) -> Fleet {
     let holding = holders.iter().filter(|holder| !holder.assigned.is_empty());
     let candidates = holding.enumerate().map(|(index, holder)| Candidate {
--- a/crates/core/tests/support/registry.rs
+++ b/crates/core/tests/support/registry.rs
@@ -1,4 +1,4 @@
-//! Registered servers, as the tests of the roster need them.
+//! Fixtures of registered servers.
 
 use jujube_core::layer::Range;
 use jujube_core::pipeline::server::Incarnation;
