--- a/crates/core/tests/steps_differential.rs
+++ b/crates/core/tests/steps_differential.rs
@@ -72,6 +72,6 @@
         world.finish();
 
         world.observer.check(true);
-        assert!(world.observer.broken.is_empty(), "{:?}", world.observer.broken);
+        assert!(world.observer.violations.is_empty(), "{:?}", world.observer.violations);
     }
 }
--- a/crates/core/tests/steps_matrix.rs
+++ b/crates/core/tests/steps_matrix.rs
@@ -56,9 +56,9 @@
     world.finish();
     world.observer.check(true);
     assert!(
-        world.observer.broken.is_empty(),
+        world.observer.violations.is_empty(),
         "{:?}",
-        world.observer.broken
+        world.observer.violations
     );
     world.steps.len()
 }
@@ -77,7 +77,7 @@
     }
     world.finish();
     world.observer.check(true);
-    (struck, world.observer.broken)
+    (struck, world.observer.violations)
 }
 
 /// Each caller sees its own whole answer, or is gone itself.
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A small world around the core's controllers: stages, entries and messages, driven one event at a
-//! time, with an observer that knows nothing of how the controllers work.
+//! A deterministic simulation of stages, entries and messages around the core's controllers, driven
+//! one event at a time, with an observer that checks invariants independently of the controllers.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 #![allow(
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -40,8 +40,8 @@
 use rand::rngs::StdRng;
 
 use super::model;
+use super::observer::Observation;
 use super::observer::Observer;
-use super::observer::Seen;
 
 /// Something on its way.
 #[derive(Clone, Debug)]
@@ -256,10 +256,10 @@
             prompt: prompt.to_vec(),
             max_tokens,
         };
-        let seen = Seen {
+        let seen = Observation {
             prompt: prompt.to_vec(),
-            wanted: max_tokens,
-            ..Seen::default()
+            expected_tokens: max_tokens,
+            ..Observation::default()
         };
         self.observer.requests.insert(request, seen);
         let session = Session::new(spec, Settings::default());
@@ -709,7 +709,7 @@
         } else if sequence.position > work.first.0 || node.engine_life == 0 {
             // An engine that came back empty refuses what it never began; any other has had it.
             let what = format!("{server}: position {} does not fit", work.first);
-            self.observer.broken.push(what);
+            self.observer.violations.push(what);
         }
         self.send(Message::Ran(server, life, work.request, work.run, outputs));
     }
@@ -755,7 +755,9 @@
             while self.step() {
                 steps += 1;
                 if steps > MOST_STEPS {
-                    self.observer.broken.push("it goes round in circles".into());
+                    self.observer
+                        .violations
+                        .push("it goes round in circles".into());
                     return;
                 }
             }
@@ -771,7 +773,7 @@
         for (stage, node) in &self.nodes {
             if node.alive && !node.ledger.is_empty() {
                 self.observer
-                    .broken
+                    .violations
                     .push(format!("{}: holds an orphan", stage.server));
             }
         }
