--- a/crates/core/tests/closing.rs
+++ b/crates/core/tests/closing.rs
@@ -1,7 +1,6 @@
-//! Who closes a gap in a model's layers.
+//! Tests of how a placement closes a gap in a model's layers.
 //!
-//! The pattern of load: servers of one availability zone carry streams of seconds. One that gives up layers carries
-//! none of them from then on, and has its new ones when what passes has passed.
+//! A server that gives up layers gets no new streams and loads its new layers once its streams have ended.
 
 #[path = "support/pipeline.rs"]
 mod pipeline;
@@ -31,9 +30,9 @@
     names.collect()
 }
 
-/// Guards against a gap that stays open for seconds while a neighbour could hold its layers beside its own.
+/// Guards against a gap that stays open while a neighbour has memory for its layers.
 #[test]
-fn a_neighbour_adds_the_missing_layers_to_its_own() {
+fn a_neighbour_adds_the_missing_layers() {
     let holders = [
         holder("left", "a100", (0, 26), 60),
         holder("right", "l40s", (29, 50), 60),
@@ -47,7 +46,7 @@
     assert_eq!(orders[0].layers, Range::new(0, 29));
 }
 
-/// Guards against a gap that waits for dozens of streams to end while an idle server could close it.
+/// Guards against a gap that stays open until streams end while an idle server could close it.
 #[test]
 fn the_server_with_the_fewest_requests_gives_up_its_layers() {
     let holders = [
@@ -63,7 +62,7 @@
     assert_eq!(orders[0].layers, Range::new(34, 42));
 }
 
-/// Guards against a plan that opens one gap to close another while spare servers could close it.
+/// Guards against a placement that opens one gap to close another while spare servers could close it.
 #[test]
 fn a_layer_keeps_its_last_holder() {
     let holders = [
@@ -91,9 +90,9 @@
     assert!(lost.iter().all(|gap| gap.start >= 54), "{orders:?}");
 }
 
-/// Guards against moves for room that take further layers away while requests are refused for want of a path.
+/// Guards against moves for capacity that remove further layers while requests are refused for lack of a path.
 #[test]
-fn nobody_moves_for_room_while_a_gap_is_being_closed() {
+fn no_server_moves_for_capacity_while_a_gap_is_being_closed() {
     let mut loading = holder("loading", "l4", (0, 8), 0);
     let mut holders = vec![holder("spare", "l4", (72, 80), 0)];
     for (start, end) in [(8, 32), (32, 56), (56, 80)] {
@@ -106,7 +105,7 @@
     assert_eq!(
         names(&plan(&model, &holders)),
         ["spare"],
-        "room is to be gained"
+        "a move would add capacity"
     );
 
     loading.serving = Range::default();
@@ -117,7 +116,7 @@
     assert_eq!(plan(&model, &holders), []);
 }
 
-/// One zone with a gap that only a server with requests can close.
+/// Returns a zone with a gap that only a server with requests can close.
 fn gap_beside_requests() -> Vec<Holder> {
     vec![
         holder("left", "a100", (0, 38), 40),
@@ -126,18 +125,18 @@
     ]
 }
 
-/// Guards against refusals of all callers for as long as the requests on one server run.
+/// Guards against refusing all requests until those on one server have ended.
 #[test]
-fn requests_are_broken_off_where_no_other_can_pass() {
+fn requests_are_interrupted_when_there_is_no_other_path() {
     let orders = plan(&model(), &gap_beside_requests());
 
     assert_eq!(names(&orders), ["busy"]);
     assert_eq!(orders[0].handover, Handover::Break);
 }
 
-/// Guards against streams that are broken off for a move while another availability zone serves.
+/// Guards against interrupting streams for a move while another availability zone serves.
 #[test]
-fn requests_are_waited_for_while_there_is_a_path_elsewhere() {
+fn requests_are_drained_while_there_is_another_path() {
     let mut holders = gap_beside_requests();
     for (name, layers) in [("b-first", (0, 40)), ("b-second", (40, 80))] {
         let mut other = holder(name, "a100", layers, 20);
@@ -151,9 +150,9 @@
     assert_eq!(orders[0].handover, Handover::Drain);
 }
 
-/// Guards against a gap that an order has closed on paper only, while the requests on its server run on.
+/// Guards against counting a gap as closed by an order that is blocked by the requests on its server.
 #[test]
-fn a_server_that_waits_closes_no_gap_while_there_is_no_path() {
+fn a_blocked_server_closes_no_gap_while_there_is_no_path() {
     let mut holders = gap_beside_requests();
     holders[1].assigned = Range::new(38, 42);
     holders[1].serving = Range::default();
@@ -166,9 +165,9 @@
     assert_eq!(orders[0].handover, Handover::Break);
 }
 
-/// Guards against orders to a server that refuses every order until it has carried out its last.
+/// Guards against orders to a server that refuses them until it has carried out its last one.
 #[test]
-fn a_server_that_waits_gets_no_other_order() {
+fn a_blocked_server_gets_no_other_order() {
     let mut holders = gap_beside_requests();
     holders[1].serving = Range::default();
     holders[1].phase = Phase::Blocked;
