--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, keys and the share of retries of a configuration that is one document.
+//! Tests of the routes and keys of a document, and of the retry budget.
 
 use jujube_core::pipeline::budget::Budget;
 use jujube_core::pipeline::budget::Policy;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn the_longest_matching_prefix_is_chosen() {
     let table = table();
 
     let old = table.route("desk.example", "/notes/old/7").unwrap();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_key_names_its_customer_and_nobody_elses() {
+fn a_key_belongs_to_one_customer() {
     let table = table();
 
     assert_eq!(&*table.account("k2").unwrap().customer.0, "crew");
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn weights_divide_requests() {
+fn requests_are_split_by_weight() {
     let route = route("split", "/", &[("new", 9), ("old", 1)]);
 
     let old = (0..1_000).filter(|draw| &*route.pick_target(*draw).unwrap().0 == "old");
@@ -86,14 +86,14 @@
 }
 
 #[test]
-fn weights_of_nothing_leave_the_first_target() {
+fn zero_weights_select_the_first_target() {
     let route = route("split", "/", &[("new", 0), ("old", 0)]);
 
     assert_eq!(&*route.pick_target(5).unwrap().0, "new");
 }
 
 #[test]
-fn streams_repeat_only_where_they_may_be_resumed() {
+fn only_resumable_streams_may_be_retried() {
     let mut stream = route("stream", "/", &[("writer", 1)]);
     stream.kind = Kind::Stream;
     assert!(!stream.may_repeat());
@@ -110,35 +110,37 @@
         ..ProptestConfig::default()
     })]
 
-    /// In no window do entries together send more extra arrivals than the service allows, when each
-    /// takes all that it can while its service fails; sites have from four to some tens of entries.
+    /// Guards against entries that together retry more than a service allows in any window, when each
+    /// uses its full share.
     #[test]
     fn all_entries_together_stay_below_the_budget(
         entries in 1_u64..60,
         gaps in proptest::collection::vec(0_u64..120, 50..300),
     ) {
-        let terms = Policy { ratio: 0.2, slack: 100.0, window: Span(10_000) };
-        let share = terms.slack / entries as f64;
-        let all = entries as f64;
-        let mut allowance = Budget::default();
+        let policy = Policy { ratio: 0.2, slack: 100.0, window: Span(10_000) };
+        let share = policy.slack / entries as f64;
+        let entry_count = entries as f64;
+        let mut budget = Budget::default();
         let mut requests = Vec::new();
-        let mut extra = Vec::new();
+        let mut retries = Vec::new();
         let mut now = 0;
         for gap in gaps {
             now += gap;
-            allowance.request(Instant(now), &terms);
+            budget.request(Instant(now), &policy);
             requests.push(now);
-            while allowance.take(Instant(now), &terms, share) {
-                extra.push(now);
+            while budget.take(Instant(now), &policy, share) {
+                retries.push(now);
             }
         }
-        for end in &extra {
-            let inside = |time: &&u64| **time <= *end && *end - **time < terms.window.0;
-            let sent = extra.iter().filter(inside).count() as f64;
-            let asked = requests.iter().filter(inside).count() as f64;
-            let earlier = requests.iter().filter(|time| **time <= *end && *end - **time < 2 * terms.window.0);
-            let most = asked.max(earlier.count() as f64 - asked);
-            prop_assert!(all * sent <= terms.ratio * all * most.max(asked) + terms.slack);
+        for end in &retries {
+            let inside = |time: &&u64| **time <= *end && *end - **time < policy.window.0;
+            let sent = retries.iter().filter(inside).count() as f64;
+            let requested = requests.iter().filter(inside).count() as f64;
+            let recent = |time: &&u64| **time <= *end && *end - **time < 2 * policy.window.0;
+            let earlier = requests.iter().filter(recent);
+            let max_requests = requested.max(earlier.count() as f64 - requested);
+            let allowed = policy.ratio * entry_count * max_requests.max(requested) + policy.slack;
+            prop_assert!(entry_count * sent <= allowed);
         }
     }
 }
