--- a/crates/core/src/bundle/check.rs
+++ b/crates/core/src/bundle/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a bundle that need more than one section.
+//! Semantic checks of a parsed bundle.
 
 use core::net::SocketAddr;
 use std::collections::BTreeMap;
@@ -11,9 +11,9 @@
 use crate::layer::Range;
 use crate::name::Service;
 use crate::section::Fault;
-use crate::section::nearest;
+use crate::section::suggest;
 
-/// Returns everything that is wrong with a bundle that was read without fault.
+/// Returns the semantic faults of a parsed bundle, such as references to unknown names.
 ///
 /// # Examples
 ///
@@ -64,7 +64,7 @@
                 ));
             }
             if let Some(other) = owners.insert(key.clone(), name) {
-                let what = format!("the same key as customer {other}");
+                let what = format!("duplicate key, also listed for customer {other}");
                 faults.push(Fault::new(&section, "keys", what));
             }
         }
@@ -76,7 +76,7 @@
         let section = format!("service {name}");
         for customer in &offer.customers {
             if !bundle.customers.contains_key(customer) {
-                let hint = nearest(&customer.0, bundle.customers.keys().map(|c| &*c.0));
+                let hint = suggest(&customer.0, bundle.customers.keys().map(|c| &*c.0));
                 let what = format!("unknown customer `{customer}`{hint}");
                 faults.push(Fault::new(&section, "customers", what));
             }
@@ -86,13 +86,13 @@
             continue;
         }
         if offer.kind == Kind::Model {
-            check_cover(bundle, name, offer, &section, faults);
+            check_coverage(bundle, name, offer, &section, faults);
         }
     }
 }
 
-/// Finds layers that no chain of backend servers covers.
-fn check_cover(
+/// Reports the first layer that no backend server in use holds.
+fn check_coverage(
     bundle: &Bundle,
     name: &Service,
     offer: &Offer,
@@ -122,7 +122,7 @@
             faults.push(Fault::new(&section, "address", what));
         }
         if let Some(other) = addresses.insert(member.address.clone(), name) {
-            let what = format!("the same address as server {other}");
+            let what = format!("duplicate address, also used by server {other}");
             faults.push(Fault::new(&section, "address", what));
         }
         if member.slots == 0 {
@@ -131,7 +131,7 @@
         match bundle.services.get(&member.service) {
             Some(offer) => check_member(bundle, member, offer, &section, faults),
             None => {
-                let hint = nearest(&member.service.0, bundle.services.keys().map(|s| &*s.0));
+                let hint = suggest(&member.service.0, bundle.services.keys().map(|s| &*s.0));
                 let what = format!("unknown service `{}`{hint}", member.service);
                 faults.push(Fault::new(&section, "service", what));
             }
@@ -168,7 +168,7 @@
         }
         None => {
             let known = bundle.accelerators.keys().map(|a| &*a.0);
-            let hint = nearest(&member.accelerator.0, known);
+            let hint = suggest(&member.accelerator.0, known);
             let what = format!("unknown accelerator `{}`{hint}", member.accelerator);
             faults.push(Fault::new(section, "accelerator", what));
         }
@@ -176,16 +176,16 @@
 }
 
 fn check_links(bundle: &Bundle, faults: &mut Vec<Fault>) {
-    let known = |zone| bundle.servers.values().any(|m| &m.zone == zone);
+    let has_servers = |zone| bundle.servers.values().any(|m| &m.zone == zone);
     for ((one, other), link) in &bundle.links {
         let section = format!("link {one} {other}");
         if link.bytes == 0 {
             faults.push(Fault::new(&section, "bytes", "0: expected 1 or more"));
         }
         for zone in [one, other] {
-            if !known(zone) {
-                let hint = nearest(&zone.0, bundle.servers.values().map(|m| &*m.zone.0));
-                let what = format!("no backend server is in `{zone}`{hint}");
+            if !has_servers(zone) {
+                let hint = suggest(&zone.0, bundle.servers.values().map(|m| &*m.zone.0));
+                let what = format!("no backend server in zone `{zone}`{hint}");
                 faults.push(Fault::new(&section, "-", what));
             }
         }
--- a/crates/front/src/waiting.rs
+++ b/crates/front/src/waiting.rs
@@ -49,7 +49,7 @@
     fn default() -> Self {
         let settings = Settings {
             slots: 0,
-            first_guess: INITIAL_DURATION,
+            initial_duration: INITIAL_DURATION,
             ..Settings::default()
         };
         Self {
