--- a/crates/core/src/pipeline/reserve.rs
+++ b/crates/core/src/pipeline/reserve.rs
@@ -276,7 +276,7 @@
         retries_per_piece(slack) * self.held(service) as f64
     }
 
-    /// Stops using up to `most` pieces of a service beyond `keep`, and returns them with their
+    /// Stops using up to `max` pieces of a service beyond `keep`, and returns them with their
     /// revisions so that the caller can delete them from the store if unchanged.
     ///
     /// Call this only when requests have earned all retries that still count.
@@ -284,12 +284,12 @@
         &mut self,
         service: &Service,
         keep: u64,
-        most: usize,
+        max: usize,
     ) -> Vec<(Piece, Revision)> {
         let spare = self.held(service).saturating_sub(keep) as usize;
         let own = self.held.iter().filter(|((of, _), _)| of == service);
         let known = own.filter_map(|((_, piece), written)| Some((*piece, (*written)?)));
-        let pieces: Vec<(Piece, Revision)> = known.take(spare.min(most)).collect();
+        let pieces: Vec<(Piece, Revision)> = known.take(spare.min(max)).collect();
         let tenure = self.tenure().unwrap_or_default();
         for (piece, revision) in &pieces {
             let key = (service.clone(), *piece);
--- a/crates/core/src/pipeline/roster.rs
+++ b/crates/core/src/pipeline/roster.rs
@@ -382,13 +382,13 @@
             .is_some_and(|registration| registration.draining_since.is_some())
     }
 
-    /// Returns the servers that have been draining for at least `lasts`.
-    pub fn draining(&self, now: Instant, lasts: Span) -> impl Iterator<Item = &Incarnation> {
+    /// Returns the servers that have been draining for at least `min_duration`.
+    pub fn draining(&self, now: Instant, min_duration: Span) -> impl Iterator<Item = &Incarnation> {
         let has_drained = move |registration: &&Registration| {
             let since = registration
                 .draining_since
                 .map(|draining_since| now.since(draining_since));
-            since.is_some_and(|since| since >= lasts)
+            since.is_some_and(|since| since >= min_duration)
         };
         let leaving = self.registrations.values().filter(has_drained);
         leaving.map(|registration| &registration.server.incarnation)
