--- a/crates/core/src/blackboard.rs
+++ b/crates/core/src/blackboard.rs
@@ -22,7 +22,7 @@
 use crate::path::Candidate;
 use crate::path::Fleet;
 use crate::path::Table;
-use crate::request::Incarnation;
+use crate::request::BootId;
 use crate::subset;
 use crate::subset::subset;
 use crate::time::Instant;
@@ -37,7 +37,7 @@
     /// Where its sidecar takes HTTP.
     pub http: Arc<str>,
     /// The run of the sidecar that the call is meant for.
-    pub sidecar: Incarnation,
+    pub sidecar: BootId,
     /// Requests that it last said it holds.
     pub held: u64,
 }
@@ -72,7 +72,7 @@
     pub members: Arc<BTreeMap<Server, Member>>,
     /// Who is there.
     pub membership: Membership,
-    entry: Incarnation,
+    entry: BootId,
     subset: subset::Settings,
     keys: Arc<BTreeMap<Arc<str>, Customer>>,
     solved: BTreeMap<Service, Solved>,
@@ -99,18 +99,13 @@
     /// # use jujube_core::bundle::Trust;
     /// # use jujube_core::head::Generation;
     /// # use jujube_core::membership::Settings;
-    /// # use jujube_core::request::Incarnation;
+    /// # use jujube_core::request::BootId;
     /// let subset = jujube_core::subset::Settings::default();
-    /// let board = Blackboard::new(Trust::default(), Settings::default(), Incarnation(1), subset);
+    /// let board = Blackboard::new(Trust::default(), Settings::default(), BootId(1), subset);
     /// assert_eq!(board.generation(), Generation(0));
     /// ```
     #[must_use]
-    pub fn new(
-        trust: Trust,
-        settings: Settings,
-        entry: Incarnation,
-        subset: subset::Settings,
-    ) -> Self {
+    pub fn new(trust: Trust, settings: Settings, entry: BootId, subset: subset::Settings) -> Self {
         Self {
             trust,
             history: History::default(),
--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -15,7 +15,7 @@
 use crate::name::Server;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
-use crate::request::Incarnation;
+use crate::request::BootId;
 use crate::request::Request;
 use crate::retry::Budget;
 use crate::time::Span;
@@ -49,7 +49,7 @@
     /// The backend server.
     pub server: Option<Server>,
     /// The run of its sidecar.
-    pub sidecar: Incarnation,
+    pub sidecar: BootId,
 }
 
 /// What the entry is to do.
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -8,7 +8,7 @@
 use crate::name::Server;
 use crate::refusal::Reason;
 use crate::refusal::Refusal;
-use crate::request::Incarnation;
+use crate::request::BootId;
 use crate::request::Request;
 use crate::time::Span;
 use crate::verdict::Verdict;
@@ -48,7 +48,7 @@
     /// Where the call is dispatched.
     pub server: Server,
     /// The run of that server's sidecar.
-    pub sidecar: Incarnation,
+    pub sidecar: BootId,
     /// When it was claimed, in milliseconds of the Unix epoch; only used to be patient.
     pub at: u64,
     /// How far it has come.
--- a/crates/core/src/ledger/book.rs
+++ b/crates/core/src/ledger/book.rs
@@ -14,8 +14,8 @@
 use super::message::Resume;
 use super::message::Run;
 use crate::name::Server;
+use crate::request::BootId;
 use crate::request::Epoch;
-use crate::request::Incarnation;
 use crate::request::Request;
 use crate::time::Instant;
 use crate::time::Span;
@@ -37,7 +37,7 @@
     entries: BTreeMap<Request, Entry>,
     /// Released requests: up to which epoch, and when.
     released: BTreeMap<Request, (Epoch, Instant)>,
-    leases: BTreeMap<Incarnation, Instant>,
+    leases: BTreeMap<BootId, Instant>,
     /// Requests that are gone and whose cache is not freed yet; with the run that still goes on.
     leaving: BTreeMap<Request, Option<Run>>,
     last_run: Run,
@@ -319,7 +319,7 @@
     }
 
     /// Takes or renews an entry's lease on its requests.
-    pub fn renew(&mut self, now: Instant, entry: Incarnation) {
+    pub fn renew(&mut self, now: Instant, entry: BootId) {
         self.leases.insert(entry, now);
     }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -6,7 +6,7 @@
 
 use crate::head::Generation;
 use crate::name::Server;
-use crate::request::Incarnation;
+use crate::request::BootId;
 use crate::time::Instant;
 use crate::time::Span;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Heartbeat {
     /// The run of the sidecar.
-    pub incarnation: Incarnation,
+    pub incarnation: BootId,
     /// The configuration that it applies.
     pub generation: Generation,
     /// Whether it is leaving.
--- a/crates/core/src/once.rs
+++ b/crates/core/src/once.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::request::Incarnation;
+use crate::request::BootId;
 use crate::request::Request;
 use crate::time::Instant;
 use crate::time::Span;
@@ -74,19 +74,19 @@
 ///
 /// ```
 /// # use jujube_core::once::Ledger;
-/// # use jujube_core::request::Incarnation;
+/// # use jujube_core::request::BootId;
 /// # use jujube_core::request::Request;
 /// # use jujube_core::time::Instant;
 /// # use jujube_core::verdict::Verdict;
-/// let mut ledger = Ledger::new(Incarnation(1), 8);
+/// let mut ledger = Ledger::new(BootId(1), 8);
 /// let call = Request::default();
-/// ledger.begin(Instant(0), call, Incarnation(1))?;
-/// assert_eq!(ledger.settle(Instant(1), call, Incarnation(1)), Verdict::MayHaveRun);
+/// ledger.begin(Instant(0), call, BootId(1))?;
+/// assert_eq!(ledger.settle(Instant(1), call, BootId(1)), Verdict::MayHaveRun);
 /// # Ok::<(), jujube_core::once::Refused>(())
 /// ```
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    incarnation: Incarnation,
+    incarnation: BootId,
     slots: usize,
     busy: usize,
     draining: bool,
@@ -102,7 +102,7 @@
 impl Ledger {
     /// Returns an empty ledger of one run of a sidecar.
     #[must_use]
-    pub fn new(incarnation: Incarnation, slots: usize) -> Self {
+    pub fn new(incarnation: BootId, slots: usize) -> Self {
         Self {
             incarnation,
             slots,
@@ -133,12 +133,7 @@
     /// # Errors
     ///
     /// See [`Refused`]; the call does not run through this dispatch.
-    pub fn begin(
-        &mut self,
-        now: Instant,
-        call: Request,
-        meant_for: Incarnation,
-    ) -> Result<(), Refused> {
+    pub fn begin(&mut self, now: Instant, call: Request, meant_for: BootId) -> Result<(), Refused> {
         if meant_for != self.incarnation {
             return Err(Refused::Restarted);
         }
@@ -174,7 +169,7 @@
     /// A call that is not known is closed first: its bytes may still be on the way, and saying
     /// `not-run` of a call that arrives a moment later would double an approval. After a restart
     /// nothing is known of earlier calls, hence `may-have-run`.
-    pub fn settle(&mut self, now: Instant, call: Request, meant_for: Incarnation) -> Verdict {
+    pub fn settle(&mut self, now: Instant, call: Request, meant_for: BootId) -> Verdict {
         if meant_for != self.incarnation {
             return Verdict::MayHaveRun;
         }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -10,11 +10,11 @@
 use crate::number::numbers;
 
 numbers! {
-    /// One run of a process; it differs after every start.
+    /// Identifies one run of a process; it changes with every start.
     ///
-    /// State that a process kept in memory is gone after a restart. Without this number, "I do not
-    /// know that request" from a fresh process would be taken for "that request never ran".
-    Incarnation;
+    /// State in memory is lost on a restart. Without this number, an unknown request at a restarted
+    /// process would look like a request that never ran.
+    BootId;
     /// The number of one path of a request; it grows with every change of path.
     ///
     /// A stage that hears an older epoch refuses the step: without this, a stage that was paused
@@ -64,7 +64,7 @@
 )]
 pub struct Request {
     /// The run of the entry that accepted the request.
-    pub entry: Incarnation,
+    pub entry: BootId,
     /// The number of the request in that run.
     pub number: u64,
 }
@@ -92,7 +92,7 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let (entry, number) = text.split_once('-').ok_or(BadRequest)?;
         Ok(Self {
-            entry: Incarnation(u64::from_str_radix(entry, 16)?),
+            entry: BootId(u64::from_str_radix(entry, 16)?),
             number: number.parse()?,
         })
     }
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -20,7 +20,7 @@
 use crate::name::Server;
 use crate::name::Service;
 use crate::name::Zone;
-use crate::request::Incarnation;
+use crate::request::BootId;
 
 /// How an entry's share is cut.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -42,17 +42,13 @@
 ///
 /// ```
 /// # use jujube_core::bundle::Bundle;
-/// # use jujube_core::request::Incarnation;
+/// # use jujube_core::request::BootId;
 /// # use jujube_core::subset::Settings;
 /// # use jujube_core::subset::subset;
-/// assert!(subset(&Bundle::default(), Incarnation(1), &Settings::default()).is_empty());
+/// assert!(subset(&Bundle::default(), BootId(1), &Settings::default()).is_empty());
 /// ```
 #[must_use]
-pub fn subset(
-    bundle: &Bundle,
-    entry: Incarnation,
-    settings: &Settings,
-) -> BTreeMap<Server, Member> {
+pub fn subset(bundle: &Bundle, entry: BootId, settings: &Settings) -> BTreeMap<Server, Member> {
     let mut by_service: BTreeMap<&Service, Members<'_>> = BTreeMap::new();
     for (server, member) in &bundle.servers {
         by_service
@@ -87,7 +83,7 @@
 
 /// Takes the highest of each group by rendezvous hashing: a member that goes changes only what the
 /// entries that had it speak to.
-fn draw(pool: Members<'_>, entry: Incarnation, each: usize) -> Members<'_> {
+fn draw(pool: Members<'_>, entry: BootId, each: usize) -> Members<'_> {
     if each == 0 {
         return pool;
     }
@@ -109,7 +105,7 @@
     drawn
 }
 
-fn score(entry: Incarnation, server: &Server) -> u64 {
+fn score(entry: BootId, server: &Server) -> u64 {
     let mut hasher = DefaultHasher::new();
     (entry, server).hash(&mut hasher);
     hasher.finish()
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -17,7 +17,7 @@
 use jujube_core::head::Generation;
 use jujube_core::head::Head;
 use jujube_core::membership::Settings;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use proptest::prelude::ProptestConfig;
 use proptest::proptest;
 use proptest::test_runner::RngSeed;
@@ -67,7 +67,7 @@
 
 fn board() -> Blackboard {
     let subset = jujube_core::subset::Settings::default();
-    Blackboard::new(trust(), Settings::default(), Incarnation(1), subset)
+    Blackboard::new(trust(), Settings::default(), BootId(1), subset)
 }
 
 /// A process that slept for a minute and wakes offers what it slept on; nobody goes back to it.
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -13,7 +13,7 @@
 use jujube_core::membership::Settings;
 use jujube_core::membership::State;
 use jujube_core::name::Server;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::time::Instant;
 
 fn names(count: usize) -> Vec<Server> {
@@ -22,7 +22,7 @@
 
 fn beat(incarnation: u64) -> Heartbeat {
     Heartbeat {
-        incarnation: Incarnation(incarnation),
+        incarnation: BootId(incarnation),
         healthy: true,
         ..Heartbeat::default()
     }
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -13,7 +13,7 @@
 use jujube_core::bundle::parse;
 use jujube_core::layer;
 use jujube_core::layer::Range;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::subset::Settings;
 use jujube_core::subset::subset;
 
@@ -52,7 +52,7 @@
     let mut taken: BTreeMap<String, usize> = BTreeMap::new();
 
     for entry in 0..100 {
-        let members = subset(&bundle, Incarnation(entry), &settings("x"));
+        let members = subset(&bundle, BootId(entry), &settings("x"));
         let held: Vec<Range> = members.values().map(|member| member.layers).collect();
         assert_eq!(members.len(), 2 * EACH);
         assert_eq!(layer::first_gap(8, &held), None);
@@ -71,7 +71,7 @@
 
 #[test]
 fn zones_that_do_not_cover_are_not_enough() {
-    let members = subset(&bundle(), Incarnation(1), &settings("y"));
+    let members = subset(&bundle(), BootId(1), &settings("y"));
 
     let held: Vec<Range> = members.values().map(|member| member.layers).collect();
     assert_eq!(layer::first_gap(8, &held), None);
@@ -80,7 +80,7 @@
 
 #[test]
 fn without_settings_all_are_taken() {
-    let members = subset(&bundle(), Incarnation(1), &Settings::default());
+    let members = subset(&bundle(), BootId(1), &Settings::default());
 
     assert_eq!(members.len(), 60);
 }
--- a/crates/core/tests/support/calls.rs
+++ b/crates/core/tests/support/calls.rs
@@ -16,7 +16,7 @@
 use jujube_core::name::Server;
 use jujube_core::once;
 use jujube_core::refusal::Refusal;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::request::Request;
 use jujube_core::retry::Budget;
 use jujube_core::time::Instant;
@@ -114,7 +114,7 @@
 
 struct Sidecar {
     ledger: once::Ledger,
-    incarnation: Incarnation,
+    incarnation: BootId,
     alive: bool,
     /// What the earlier runs had begun goes on at the service.
     life: u64,
@@ -169,7 +169,7 @@
 impl World {
     pub fn new(mutation: Mutation) -> Self {
         let sidecars = (0..SIDECARS).map(|index| {
-            let incarnation = Incarnation(100 + index as u64);
+            let incarnation = BootId(100 + index as u64);
             Sidecar {
                 ledger: once::Ledger::new(incarnation, 8),
                 incarnation,
@@ -247,7 +247,7 @@
         let chosen = (0..SIDECARS).find(usable);
         let dispatch = chosen.map(|chosen| Dispatch {
             call: Request {
-                entry: Incarnation(number as u64),
+                entry: BootId(number as u64),
                 number: self.next_call,
             },
             server: Some(name(chosen)),
@@ -313,7 +313,7 @@
     fn restart(&mut self, index: usize) {
         let sidecar = &mut self.sidecars[index];
         sidecar.life += 1;
-        sidecar.incarnation = Incarnation(1_000 * sidecar.life + 100 + index as u64);
+        sidecar.incarnation = BootId(1_000 * sidecar.life + 100 + index as u64);
         sidecar.ledger = once::Ledger::new(sidecar.incarnation, 8);
         // Whoever waited for an answer has lost its connection.
         let waits = |message: &&Message| match message {
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -25,8 +25,8 @@
 use jujube_core::path::Settings as PathSettings;
 use jujube_core::path::Stage;
 use jujube_core::path::Table;
+use jujube_core::request::BootId;
 use jujube_core::request::Epoch;
-use jujube_core::request::Incarnation;
 use jujube_core::request::Position;
 use jujube_core::request::Request;
 use jujube_core::session;
@@ -162,7 +162,7 @@
 }
 
 pub const LAYERS: u32 = 6;
-const ENTRY: Incarnation = Incarnation(1);
+const ENTRY: BootId = BootId(1);
 const TICK: Span = Span(100);
 
 /// Three kinds of stage, three of each; the last kind of the second runs two parts.
--- a/crates/entry/src/api/claimed.rs
+++ b/crates/entry/src/api/claimed.rs
@@ -19,7 +19,7 @@
 use jujube_core::name::Customer;
 use jujube_core::refusal::Reason;
 use jujube_core::refusal::Refusal;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::verdict::Verdict;
 use jujube_program::clock;
 use jujube_program::http;
@@ -158,7 +158,7 @@
         call: call.id(),
         fingerprint: fingerprint.to_string(),
         server: "-".into(),
-        sidecar: Incarnation(0),
+        sidecar: BootId(0),
         at: clock::unix_millis(),
         progress: Progress::Held,
     };
--- a/crates/entry/src/api/dispatch.rs
+++ b/crates/entry/src/api/dispatch.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use jujube_core::blackboard::Target;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::request::Request as Call;
 use jujube_core::verdict::Verdict;
 use jujube_program::http;
@@ -98,7 +98,7 @@
     state: &State,
     address: &Arc<str>,
     call: Call,
-    sidecar: Incarnation,
+    sidecar: BootId,
 ) -> Verdict {
     let settle = Settle { call, sidecar };
     let ask = |client: SidecarClient, context| async move { client.settle(context, settle).await };
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -15,8 +15,8 @@
 use jujube_core::ledger::Opened;
 use jujube_core::ledger::Tokens;
 use jujube_core::name::Server;
+use jujube_core::request::BootId;
 use jujube_core::request::Epoch;
-use jujube_core::request::Incarnation;
 use jujube_core::request::Request;
 use jujube_core::retry::Budget;
 use jujube_program::counters::Counters;
@@ -53,7 +53,7 @@
 
 pub(crate) struct Inner {
     pub(crate) settings: Settings,
-    pub(crate) incarnation: Incarnation,
+    pub(crate) incarnation: BootId,
     /// Where sidecars call.
     pub(crate) peer: Arc<str>,
     pub(crate) counters: Counters,
--- a/crates/load/src/slopes/state.rs
+++ b/crates/load/src/slopes/state.rs
@@ -15,8 +15,8 @@
 use jujube_core::ledger::Open;
 use jujube_core::path::Route;
 use jujube_core::path::Stage;
+use jujube_core::request::BootId;
 use jujube_core::request::Epoch;
-use jujube_core::request::Incarnation;
 use jujube_core::request::Position;
 use jujube_core::request::Request;
 use jujube_core::time::Instant;
@@ -34,7 +34,7 @@
 
 fn request(number: usize) -> Request {
     Request {
-        entry: Incarnation(1),
+        entry: BootId(1),
         number: number as u64,
     }
 }
--- a/crates/program/src/clock.rs
+++ b/crates/program/src/clock.rs
@@ -4,7 +4,7 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::time::Instant;
 
 static ORIGIN: OnceLock<std::time::Instant> = OnceLock::new();
@@ -29,8 +29,8 @@
 }
 
 /// Draws the number of this run of a process.
-pub fn incarnation() -> Incarnation {
-    Incarnation(rand::random())
+pub fn incarnation() -> BootId {
+    BootId(rand::random())
 }
 
 /// Draws a nonce: 128 bits in hex.
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -15,7 +15,7 @@
 use hyper::header::HeaderName;
 use hyper::header::HeaderValue;
 use jujube_core::once;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::request::Request as Call;
 use jujube_core::verdict::Verdict;
 use jujube_program::clock;
@@ -127,7 +127,7 @@
     }
 }
 
-fn identify(headers: &HeaderMap) -> Option<(Call, Incarnation)> {
+fn identify(headers: &HeaderMap) -> Option<(Call, BootId)> {
     let text = |name: &str| headers.get(name)?.to_str().ok();
     let call = text(plain::CALL)?.parse().ok()?;
     let sidecar = text(plain::SIDECAR)?.parse().ok()?;
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -17,7 +17,7 @@
 use jujube_core::ledger::Ledger;
 use jujube_core::ledger::Limits;
 use jujube_core::once;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_program::clock;
 use jujube_program::counters::Counters;
 use jujube_wire::connection::Patience;
@@ -34,7 +34,7 @@
 
 pub(crate) struct Inner {
     pub(crate) settings: Settings,
-    pub(crate) incarnation: Incarnation,
+    pub(crate) incarnation: BootId,
     pub(crate) http: SocketAddr,
     pub(crate) engine: Engine,
     pub(crate) counters: Counters,
--- a/crates/standin/tests/claims.rs
+++ b/crates/standin/tests/claims.rs
@@ -13,7 +13,7 @@
 use jujube_core::claim::Progress;
 use jujube_core::claim::Record;
 use jujube_core::fence::Token;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::request::Request;
 use jujube_core::time::Instant;
 use jujube_core::time::Span;
@@ -52,7 +52,7 @@
         call: Request::default(),
         fingerprint: "f".into(),
         server: "s".into(),
-        sidecar: Incarnation(1),
+        sidecar: BootId(1),
         at: 0,
         progress: Progress::Held,
     }
--- a/crates/wire/src/heartbeat.rs
+++ b/crates/wire/src/heartbeat.rs
@@ -3,7 +3,7 @@
 use jujube_core::fence;
 use jujube_core::head::Generation;
 use jujube_core::membership;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::request::Request;
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Ask {
     /// The run of the entry; its requests' lease is renewed.
-    pub entry: Incarnation,
+    pub entry: BootId,
     /// The configuration that the entry applies.
     pub generation: Generation,
 }
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Answer {
     /// The run of the sidecar.
-    pub incarnation: Incarnation,
+    pub incarnation: BootId,
     /// The configuration that it applies.
     pub generation: Generation,
     /// Whether it is leaving.
@@ -42,7 +42,7 @@
     /// The call.
     pub call: Request,
     /// The run of the sidecar.
-    pub sidecar: Incarnation,
+    pub sidecar: BootId,
 }
 
 /// An order to an engine.
