--- a/crates/core/src/ledger/book.rs
+++ b/crates/core/src/ledger/book.rs
@@ -2,7 +2,6 @@
 
 use std::collections::BTreeMap;
 
-use super::entry::Entry;
 use super::limits::Limits;
 use super::message::Action;
 use super::message::Frame;
@@ -13,6 +12,7 @@
 use super::message::Refused;
 use super::message::Resume;
 use super::message::Run;
+use super::slot::Slot;
 use crate::name::Server;
 use crate::request::BootId;
 use crate::request::Epoch;
@@ -34,7 +34,7 @@
 pub struct Ledger {
     server: Server,
     limits: Limits,
-    entries: BTreeMap<Request, Entry>,
+    slots: BTreeMap<Request, Slot>,
     /// Released requests: up to which epoch, and when.
     released: BTreeMap<Request, (Epoch, Instant)>,
     leases: BTreeMap<BootId, Instant>,
@@ -51,7 +51,7 @@
         Self {
             server,
             limits,
-            entries: BTreeMap::new(),
+            slots: BTreeMap::new(),
             released: BTreeMap::new(),
             leases: BTreeMap::new(),
             leaving: BTreeMap::new(),
@@ -63,13 +63,13 @@
     /// Returns how many requests are held.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.slots.len()
     }
 
     /// Tells whether no request is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.slots.is_empty()
     }
 
     /// Refuses new requests from now on; those that are held go on.
@@ -101,18 +101,18 @@
         }
         self.check_released(&open)?;
         let request = open.request;
-        if let Some(entry) = self.entries.get_mut(&request) {
+        if let Some(slot) = self.slots.get_mut(&request) {
             let layers = open.route.stages[open.index].layers;
-            let held = entry.open.route.stages[entry.open.index].layers;
-            if open.epoch < entry.open.epoch {
-                return Err(Refused::Stale(entry.open.epoch));
+            let held = slot.open.route.stages[slot.open.index].layers;
+            if open.epoch < slot.open.epoch {
+                return Err(Refused::Stale(slot.open.epoch));
             }
             if layers != held {
                 return Err(Refused::Misrouted);
             }
-            entry.heard = now;
-            if open.epoch > entry.open.epoch {
-                entry.move_to(open);
+            slot.heard = now;
+            if open.epoch > slot.open.epoch {
+                slot.move_to(open);
             }
         } else {
             if self.draining {
@@ -122,16 +122,16 @@
                 // The engine still has the cache of the earlier stay: positions would not fit it.
                 return Err(Refused::Busy);
             }
-            if self.entries.len() >= self.limits.slots {
+            if self.slots.len() >= self.limits.slots {
                 return Err(Refused::Busy);
             }
             self.leases.insert(request.entry, now);
-            self.entries.insert(request, Entry::new(now, open));
+            self.slots.insert(request, Slot::new(now, open));
         }
-        let entry = &self.entries[&request];
+        let slot = &self.slots[&request];
         let opened = Opened {
-            count: entry.count(),
-            reached: entry.reached,
+            count: slot.count(),
+            reached: slot.reached,
         };
         self.advance(request, actions);
         Ok(opened)
@@ -154,11 +154,11 @@
         if received != Received::Accepted {
             return received;
         }
-        if let Some(entry) = self.entries.get_mut(&resume.request) {
-            entry.heard = now;
+        if let Some(slot) = self.slots.get_mut(&resume.request) {
+            slot.heard = now;
             // A repeat of the word must not send everything again.
-            if entry.sent.is_none() {
-                entry.resume(resume);
+            if slot.sent.is_none() {
+                slot.resume(resume);
             }
         }
         self.advance(resume.request, actions);
@@ -171,9 +171,9 @@
         if received != Received::Accepted {
             return received;
         }
-        if let Some(entry) = self.entries.get_mut(&frame.request) {
-            entry.heard = now;
-            entry.take(frame);
+        if let Some(slot) = self.slots.get_mut(&frame.request) {
+            slot.heard = now;
+            slot.take(frame);
         }
         self.advance(frame.request, actions);
         received
@@ -185,9 +185,9 @@
         {
             return Received::Stale;
         }
-        match self.entries.get(&request) {
-            Some(entry) if epoch == entry.open.epoch => Received::Accepted,
-            Some(entry) if epoch < entry.open.epoch => Received::Stale,
+        match self.slots.get(&request) {
+            Some(slot) if epoch == slot.open.epoch => Received::Accepted,
+            Some(slot) if epoch < slot.open.epoch => Received::Stale,
             _ => Received::Unknown,
         }
     }
@@ -202,10 +202,10 @@
         actions: &mut Vec<Action>,
     ) {
         self.run_ended(request, run, actions);
-        let Some(entry) = self.entries.get_mut(&request) else {
+        let Some(slot) = self.slots.get_mut(&request) else {
             return;
         };
-        let Some(running) = entry.running.filter(|running| running.run == run) else {
+        let Some(running) = slot.running.filter(|running| running.run == run) else {
             return;
         };
         if outputs.len() != running.count {
@@ -213,18 +213,18 @@
             self.lose(request, actions);
             return;
         }
-        entry.heard = now;
-        entry.finish(outputs);
+        slot.heard = now;
+        slot.finish(outputs);
         self.advance(request, actions);
     }
 
     /// Gives up a request whose engine failed: the engine's cache may be at any position.
     pub fn failed(&mut self, request: Request, run: Run, actions: &mut Vec<Action>) {
         self.run_ended(request, run, actions);
-        let Some(entry) = self.entries.get(&request) else {
+        let Some(slot) = self.slots.get(&request) else {
             return;
         };
-        if entry.running.is_some_and(|running| running.run == run) {
+        if slot.running.is_some_and(|running| running.run == run) {
             self.end_run(request);
             self.lose(request, actions);
         }
@@ -238,14 +238,14 @@
         server: &Server,
         actions: &mut Vec<Action>,
     ) {
-        let Some(entry) = self.entries.get(&request) else {
+        let Some(slot) = self.slots.get(&request) else {
             return;
         };
-        if entry.open.epoch != epoch {
+        if slot.open.epoch != epoch {
             return;
         }
         actions.push(Action::Report {
-            to: entry.open.route.entry.clone(),
+            to: slot.open.route.entry.clone(),
             lost: Lost {
                 request,
                 epoch,
@@ -255,14 +255,14 @@
     }
 
     fn lose(&mut self, request: Request, actions: &mut Vec<Action>) {
-        let Some(entry) = self.entries.get(&request) else {
+        let Some(slot) = self.slots.get(&request) else {
             return;
         };
         actions.push(Action::Report {
-            to: entry.open.route.entry.clone(),
+            to: slot.open.route.entry.clone(),
             lost: Lost {
                 request,
-                epoch: entry.open.epoch,
+                epoch: slot.open.epoch,
                 server: self.server.clone(),
             },
         });
@@ -274,10 +274,10 @@
     /// A free that overtakes a run has the engine begin a new cache in the middle of a sequence, and
     /// nobody frees that one.
     fn remove(&mut self, request: Request, actions: &mut Vec<Action>) {
-        let Some(entry) = self.entries.remove(&request) else {
+        let Some(slot) = self.slots.remove(&request) else {
             return;
         };
-        let running = entry.running.map(|running| running.run);
+        let running = slot.running.map(|running| running.run);
         self.leaving.insert(request, running);
         if running.is_none() {
             actions.push(Action::Free { request });
@@ -285,8 +285,8 @@
     }
 
     fn end_run(&mut self, request: Request) {
-        if let Some(entry) = self.entries.get_mut(&request) {
-            entry.running = None;
+        if let Some(slot) = self.slots.get_mut(&request) {
+            slot.running = None;
         }
     }
 
@@ -310,8 +310,8 @@
         epoch: Epoch,
         actions: &mut Vec<Action>,
     ) {
-        let newer = |entry: &Entry| entry.open.epoch > epoch;
-        if self.entries.get(&request).is_some_and(newer) {
+        let newer = |slot: &Slot| slot.open.epoch > epoch;
+        if self.slots.get(&request).is_some_and(newer) {
             return;
         }
         self.released.insert(request, (epoch, now));
@@ -339,7 +339,7 @@
         let lapsed = |since: Instant, span: Span| now.since(since) > span;
         self.released
             .retain(|_, (_, at)| !lapsed(*at, limits.remember));
-        let orphans = self.entries.iter().filter(|(request, _)| {
+        let orphans = self.slots.iter().filter(|(request, _)| {
             let renewed = self.leases.get(&request.entry);
             renewed.is_none_or(|renewed| lapsed(*renewed, limits.lease))
         });
@@ -350,9 +350,9 @@
         self.leases
             .retain(|_, renewed| !lapsed(*renewed, limits.lease));
         let still = self
-            .entries
+            .slots
             .iter()
-            .filter(|(_, e)| lapsed(e.heard, limits.idle));
+            .filter(|(_, slot)| lapsed(slot.heard, limits.idle));
         let still: Vec<Request> = still.map(|(request, _)| *request).collect();
         for request in still {
             self.lose(request, actions);
@@ -361,12 +361,12 @@
 
     /// Sends what can be sent and runs what can be run.
     fn advance(&mut self, request: Request, actions: &mut Vec<Action>) {
-        let Some(entry) = self.entries.get_mut(&request) else {
+        let Some(slot) = self.slots.get_mut(&request) else {
             return;
         };
-        actions.extend(entry.send());
+        actions.extend(slot.send());
         let run = self.last_run.next();
-        if let Some(action) = entry.start(run, self.limits.longest_run) {
+        if let Some(action) = slot.start(run, self.limits.longest_run) {
             self.last_run = run;
             actions.push(action);
         }
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -6,9 +6,9 @@
 //! successor lacks outputs, whoever the successor now is.
 
 mod book;
-mod entry;
 mod limits;
 mod message;
+mod slot;
 
 pub use book::Ledger;
 pub use limits::Limits;
--- a/crates/core/src/ledger/entry.rs
+++ b/crates/core/src/ledger/slot.rs
@@ -21,7 +21,7 @@
 
 /// The state of one request at one stage.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
+pub(super) struct Slot {
     pub(super) open: Open,
     /// Outputs by position: `outputs.len()` positions have run.
     pub(super) outputs: Vec<u64>,
@@ -35,7 +35,7 @@
     pub(super) heard: Instant,
 }
 
-impl Entry {
+impl Slot {
     pub(super) fn new(now: Instant, open: Open) -> Self {
         Self {
             sent: open.downstream,
