--- a/crates/core/src/once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -1,4 +1,4 @@
-//! The at-most-once ledger: what one sidecar knows of each call to a plain service.
+//! Deduplication of calls to a plain service, at one sidecar.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,7 @@
     /// # Examples
     ///
     /// ```
-    /// # use jujube_core::once::State;
+    /// # use jujube_core::at_most_once::State;
     /// # use jujube_core::verdict::Verdict;
     /// assert_eq!(State::Handed.verdict(), Verdict::MayHaveRun);
     /// ```
@@ -68,24 +68,24 @@
     at: Instant,
 }
 
-/// The at-most-once ledger.
+/// The at-most-once deduplicator.
 ///
 /// # Examples
 ///
 /// ```
-/// # use jujube_core::once::Ledger;
+/// # use jujube_core::at_most_once::Deduplicator;
 /// # use jujube_core::request::BootId;
 /// # use jujube_core::request::Request;
 /// # use jujube_core::time::Instant;
 /// # use jujube_core::verdict::Verdict;
-/// let mut ledger = Ledger::new(BootId(1), 8);
+/// let mut deduplicator = Deduplicator::new(BootId(1), 8);
 /// let call = Request::default();
-/// ledger.begin(Instant(0), call, BootId(1))?;
-/// assert_eq!(ledger.settle(Instant(1), call, BootId(1)), Verdict::MayHaveRun);
-/// # Ok::<(), jujube_core::once::Refused>(())
+/// deduplicator.begin(Instant(0), call, BootId(1))?;
+/// assert_eq!(deduplicator.settle(Instant(1), call, BootId(1)), Verdict::MayHaveRun);
+/// # Ok::<(), jujube_core::at_most_once::Refused>(())
 /// ```
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct Deduplicator {
     incarnation: BootId,
     slots: usize,
     busy: usize,
@@ -99,8 +99,8 @@
 /// ten minutes outlast both by far.
 const REMEMBER: Span = Span(600_000);
 
-impl Ledger {
-    /// Returns an empty ledger of one run of a sidecar.
+impl Deduplicator {
+    /// Returns an empty deduplicator for one run of a sidecar.
     #[must_use]
     pub fn new(incarnation: BootId, slots: usize) -> Self {
         Self {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,6 +8,7 @@
 //! live in the crates that drive the controllers.
 
 pub mod admission;
+pub mod at_most_once;
 pub mod blackboard;
 pub mod bundle;
 pub mod call;
@@ -20,7 +21,6 @@
 pub mod membership;
 pub mod name;
 mod number;
-pub mod once;
 pub mod path;
 pub mod pipeline;
 pub mod refusal;
--- a/crates/core/tests/support/calls.rs
+++ b/crates/core/tests/support/calls.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
 
+use jujube_core::at_most_once;
 use jujube_core::call::Action;
 use jujube_core::call::Call;
 use jujube_core::call::Dispatch;
@@ -14,7 +15,6 @@
 use jujube_core::claim::Progress;
 use jujube_core::claim::Record;
 use jujube_core::name::Server;
-use jujube_core::once;
 use jujube_core::refusal::Refusal;
 use jujube_core::request::BootId;
 use jujube_core::request::Request;
@@ -102,7 +102,7 @@
 /// Guards that are switched off.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Mutation {
-    /// A call that a ledger does not know is said to be not run, and not closed.
+    /// A call that the deduplicator does not know is said to be not run, and not closed.
     pub forget_to_close: bool,
     /// A sidecar that restarted speaks for its earlier run.
     pub ignore_incarnation: bool,
@@ -113,7 +113,7 @@
 }
 
 struct Sidecar {
-    ledger: once::Ledger,
+    deduplicator: at_most_once::Deduplicator,
     incarnation: BootId,
     alive: bool,
     /// What the earlier runs had begun goes on at the service.
@@ -171,7 +171,7 @@
         let sidecars = (0..SIDECARS).map(|index| {
             let incarnation = BootId(100 + index as u64);
             Sidecar {
-                ledger: once::Ledger::new(incarnation, 8),
+                deduplicator: at_most_once::Deduplicator::new(incarnation, 8),
                 incarnation,
                 alive: true,
                 life: 0,
@@ -294,7 +294,7 @@
                 self.restart(*index);
                 self.sidecars[*index].alive = false;
             }
-            Fault::Drain(index) => self.sidecars[*index].ledger.drain(),
+            Fault::Drain(index) => self.sidecars[*index].deduplicator.drain(),
             Fault::KvDown => self.kv_down = true,
             Fault::Lose => {
                 if let Some(message) = self.queue.pop_front() {
@@ -314,7 +314,7 @@
         let sidecar = &mut self.sidecars[index];
         sidecar.life += 1;
         sidecar.incarnation = BootId(1_000 * sidecar.life + 100 + index as u64);
-        sidecar.ledger = once::Ledger::new(sidecar.incarnation, 8);
+        sidecar.deduplicator = at_most_once::Deduplicator::new(sidecar.incarnation, 8);
         // Whoever waited for an answer has lost its connection.
         let waits = |message: &&Message| match message {
             Message::Run(_, dispatch) | Message::Ran(_, dispatch) => {
@@ -389,9 +389,11 @@
             Message::Ran(number, dispatch) => {
                 let sidecar = &mut self.sidecars[index(&dispatch.server)];
                 if sidecar.incarnation == dispatch.sidecar {
-                    let state = once::State::Answered(200);
-                    sidecar.ledger.advance(Instant(now), dispatch.call, state);
-                    sidecar.ledger.end();
+                    let state = at_most_once::State::Answered(200);
+                    sidecar
+                        .deduplicator
+                        .advance(Instant(now), dispatch.call, state);
+                    sidecar.deduplicator.end();
                     self.send(Message::Answered(number));
                 }
             }
@@ -461,14 +463,14 @@
         } else {
             dispatch.sidecar
         };
-        match sidecar.ledger.begin(now, dispatch.call, meant_for) {
+        match sidecar.deduplicator.begin(now, dispatch.call, meant_for) {
             Ok(()) => {
                 sidecar
-                    .ledger
-                    .advance(now, dispatch.call, once::State::Handed);
+                    .deduplicator
+                    .advance(now, dispatch.call, at_most_once::State::Handed);
                 self.send(Message::Run(number, dispatch));
             }
-            Err(once::Refused::Repeated(state)) => {
+            Err(at_most_once::Refused::Repeated(state)) => {
                 self.send(Message::Refused(number, state.verdict()));
             }
             Err(_) => self.send(Message::Refused(number, Verdict::NotRun)),
@@ -485,11 +487,11 @@
             } else {
                 dispatch.sidecar
             };
-            let known = sidecar.ledger.state(dispatch.call).is_some();
+            let known = sidecar.deduplicator.state(dispatch.call).is_some();
             verdict = if self.mutation.forget_to_close && !known {
                 Verdict::NotRun
             } else {
-                sidecar.ledger.settle(now, dispatch.call, meant_for)
+                sidecar.deduplicator.settle(now, dispatch.call, meant_for)
             };
         }
         self.send(Message::Settled(number, verdict));
--- a/crates/sidecar/src/control.rs
+++ b/crates/sidecar/src/control.rs
@@ -53,7 +53,7 @@
     let now = clock::now();
     let mut actions = Vec::new();
     state.ledger().tick(now, &mut actions);
-    state.once().tick(now);
+    state.deduplicator().tick(now);
     let _inside = traffic.enter();
     perform(state, actions);
 }
--- a/crates/sidecar/src/handler.rs
+++ b/crates/sidecar/src/handler.rs
@@ -42,7 +42,7 @@
         let mut ledger = state.ledger();
         ledger.renew(clock::now(), ask.entry);
         let entries = ledger.entries() as u64;
-        let held = ledger.len() + state.once().busy();
+        let held = ledger.len() + state.deduplicator().busy();
         drop(ledger);
         Answer {
             incarnation: state.incarnation,
@@ -128,7 +128,9 @@
 
     async fn settle(self, _: Context, settle: Settle) -> Verdict {
         let now = clock::now();
-        self.0.once().settle(now, settle.call, settle.sidecar)
+        self.0
+            .deduplicator()
+            .settle(now, settle.call, settle.sidecar)
     }
 
     async fn order(self, _: Context, order: Order) -> Result<(), OrderError> {
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -14,7 +14,7 @@
 use hyper::header::HeaderMap;
 use hyper::header::HeaderName;
 use hyper::header::HeaderValue;
-use jujube_core::once;
+use jujube_core::at_most_once;
 use jujube_core::request::BootId;
 use jujube_core::request::Request as Call;
 use jujube_core::verdict::Verdict;
@@ -47,7 +47,7 @@
         "draining": state.draining.load(Ordering::Relaxed),
         "healthy": state.healthy.load(Ordering::Relaxed),
         "requests": state.ledger().len(),
-        "calls": state.once().busy(),
+        "calls": state.deduplicator().busy(),
         "entries": state.ledger().entries(),
         "counters": state.counters.snapshot(),
     });
@@ -66,11 +66,11 @@
     let Some((call, meant_for)) = identify(request.headers()) else {
         return refusal(Verdict::NotRun, "no call identifier");
     };
-    let begun = state.once().begin(clock::now(), call, meant_for);
+    let begun = state.deduplicator().begin(clock::now(), call, meant_for);
     if let Err(refused) = begun {
         state.counters.add("calls_refused", 1);
         let verdict = match refused {
-            once::Refused::Repeated(state) => state.verdict(),
+            at_most_once::Refused::Repeated(state) => state.verdict(),
             _ => Verdict::NotRun,
         };
         return refusal(verdict, &refused.to_string());
@@ -85,7 +85,7 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.0.once().end();
+        self.0.deduplicator().end();
     }
 }
 
@@ -100,27 +100,27 @@
         Ok(request) => request,
         Err(why) => {
             state
-                .once()
-                .advance(clock::now(), call, once::State::Closed);
+                .deduplicator()
+                .advance(clock::now(), call, at_most_once::State::Closed);
             return refusal(Verdict::NotRun, &why);
         }
     };
     // From here on the service may act; the record says so before the first byte is sent.
     state
-        .once()
-        .advance(clock::now(), call, once::State::Handed);
+        .deduplicator()
+        .advance(clock::now(), call, at_most_once::State::Handed);
     match client.send(request).await {
         Ok(response) => {
             let status = response.status().as_u16();
             state
-                .once()
-                .advance(clock::now(), call, once::State::Answered(status));
+                .deduplicator()
+                .advance(clock::now(), call, at_most_once::State::Answered(status));
             pass_on(response, slot)
         }
         Err(http::Error::NotSent(why)) => {
             state
-                .once()
-                .advance(clock::now(), call, once::State::Closed);
+                .deduplicator()
+                .advance(clock::now(), call, at_most_once::State::Closed);
             refusal(Verdict::NotRun, &why)
         }
         Err(http::Error::Unknown(why)) => refusal(Verdict::MayHaveRun, &why),
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -8,6 +8,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
+use jujube_core::at_most_once;
 use jujube_core::delta::Delta;
 use jujube_core::delta::History;
 use jujube_core::fence::Gate;
@@ -16,7 +17,6 @@
 use jujube_core::head::Generation;
 use jujube_core::ledger::Ledger;
 use jujube_core::ledger::Limits;
-use jujube_core::once;
 use jujube_core::request::BootId;
 use jujube_program::clock;
 use jujube_program::counters::Counters;
@@ -41,7 +41,7 @@
     pub(crate) healthy: AtomicBool,
     pub(crate) draining: AtomicBool,
     ledger: Mutex<Ledger>,
-    once: Mutex<once::Ledger>,
+    deduplicator: Mutex<at_most_once::Deduplicator>,
     gate: Mutex<Gate>,
     history: Mutex<History>,
     outboxes: Mutex<Option<(Outboxes<ToStage>, Outboxes<ToEntry>)>>,
@@ -70,7 +70,7 @@
             healthy: AtomicBool::new(false),
             draining: AtomicBool::new(false),
             ledger: Mutex::new(Ledger::new(settings.server.clone(), limits)),
-            once: Mutex::new(once::Ledger::new(incarnation, FIRST_SLOTS)),
+            deduplicator: Mutex::new(at_most_once::Deduplicator::new(incarnation, FIRST_SLOTS)),
             gate: Mutex::default(),
             history: Mutex::default(),
             outboxes: Mutex::default(),
@@ -87,8 +87,8 @@
         lock(&self.ledger)
     }
 
-    pub(crate) fn once(&self) -> MutexGuard<'_, once::Ledger> {
-        lock(&self.once)
+    pub(crate) fn deduplicator(&self) -> MutexGuard<'_, at_most_once::Deduplicator> {
+        lock(&self.deduplicator)
     }
 
     pub(crate) fn gate(&self) -> MutexGuard<'_, Gate> {
@@ -133,7 +133,7 @@
         };
         if let Some(member) = bundle.servers.get(&self.settings.server) {
             self.ledger().set_slots(member.slots as usize);
-            self.once().set_slots(member.slots as usize);
+            self.deduplicator().set_slots(member.slots as usize);
         }
         log::info!("event=config generation={}", config.head.generation);
         history.push(Arc::new(config));
@@ -143,12 +143,12 @@
     pub(crate) fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
         self.ledger().drain();
-        self.once().drain();
+        self.deduplicator().drain();
     }
 
     /// Tells whether nothing is in flight.
     pub(crate) fn is_idle(&self) -> bool {
-        self.ledger().is_empty() && self.once().busy() == 0
+        self.ledger().is_empty() && self.deduplicator().busy() == 0
     }
 }
 
