--- a/crates/core/src/fence.rs
+++ b/crates/core/src/fence.rs
@@ -92,9 +92,9 @@
     }
 }
 
-/// A holder's view of its lease.
+/// A lease as its holder sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Holder {
+pub struct HeldLease {
     /// The number under which it gives orders.
     pub token: Token,
     /// When the last renewal that succeeded was sent.
@@ -103,7 +103,7 @@
     pub ttl: Span,
 }
 
-impl Holder {
+impl HeldLease {
     /// Tells whether an order may still be given.
     ///
     /// Counted from when the renewal was sent, not from when its answer came: the service counts
@@ -112,13 +112,13 @@
     /// # Examples
     ///
     /// ```
-    /// # use jujube_core::fence::Holder;
+    /// # use jujube_core::fence::HeldLease;
     /// # use jujube_core::fence::Token;
     /// # use jujube_core::time::Instant;
     /// # use jujube_core::time::Span;
-    /// let holder = Holder { token: Token(1), renewed: Instant(0), ttl: Span(9_000) };
-    /// assert!(holder.may_order(Instant(5_000)));
-    /// assert!(!holder.may_order(Instant(6_000)));
+    /// let held = HeldLease { token: Token(1), renewed: Instant(0), ttl: Span(9_000) };
+    /// assert!(held.may_order(Instant(5_000)));
+    /// assert!(!held.may_order(Instant(6_000)));
     /// ```
     #[must_use]
     pub fn may_order(&self, now: Instant) -> bool {
--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jujube_core::fence::Holder;
+use jujube_core::fence::HeldLease;
 use jujube_core::fence::Token;
 use jujube_core::pipeline::deputy::Election;
 use jujube_core::time::Instant;
@@ -123,21 +123,21 @@
     Some(Rc::new(Term::new(state, store, held, authority)))
 }
 
-fn become_deputy<D>(state: &State<D>) -> Option<Holder> {
+fn become_deputy<D>(state: &State<D>) -> Option<HeldLease> {
     if !state.is_store_unavailable_to_all() {
         return None;
     }
     let (now, own) = (clock::now(), state.settings.gossip);
     let election = state.leadership.election.get();
     let token = election.deputy_token(now, own, state.peers.ready())?;
-    Some(Holder {
+    Some(HeldLease {
         token,
         renewed: now,
         ttl: LEASE_TTL,
     })
 }
 
-async fn acquire_lease<D, F: Feed>(state: &State<D>, store: &F) -> Option<(Holder, Authority)> {
+async fn acquire_lease<D, F: Feed>(state: &State<D>, store: &F) -> Option<(HeldLease, Authority)> {
     if state.leadership.is_held.get() {
         return None;
     }
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jujube_core::fence::Holder as HeldLease;
+use jujube_core::fence::HeldLease;
 use jujube_core::name::Service;
 use jujube_core::pipeline::assignment::Assignments;
 use jujube_core::pipeline::model::Model;
--- a/crates/store/src/orders.rs
+++ b/crates/store/src/orders.rs
@@ -1,6 +1,6 @@
 //! Who may give orders to engines: a lease in the key-value service, with a fencing number.
 
-use jujube_core::fence::Holder;
+use jujube_core::fence::HeldLease;
 use jujube_core::fence::Token;
 use jujube_core::time::Instant;
 use jujube_core::time::Span;
@@ -50,7 +50,7 @@
     ttl: Span,
     name: &str,
     least: Token,
-) -> Result<Option<(Holder, Lease)>, Error> {
+) -> Result<Option<(HeldLease, Lease)>, Error> {
     let (token, revision) = read(store).await?;
     if store.get(HOLDER).await?.is_some() {
         return Ok(None);
@@ -80,10 +80,10 @@
         },
     ];
     let won = store.swap(&conditions, &writes).await?;
-    let holder = Holder {
+    let held = HeldLease {
         token,
         renewed: now,
         ttl,
     };
-    Ok(won.then_some((holder, lease)))
+    Ok(won.then_some((held, lease)))
 }
