--- a/crates/core/src/fence.rs
+++ b/crates/core/src/fence.rs
@@ -11,8 +11,8 @@
 }
 
 impl Token {
-    /// How many numbers each era of the store has. A term lasts for seconds, so they last for months.
-    const OF_AN_ERA: u64 = 1_000_000;
+    /// Enough for months: a term lasts for seconds and uses one token.
+    const TOKENS_PER_ERA: u64 = 1_000_000;
 
     /// Returns the least number of an era.
     ///
@@ -28,7 +28,7 @@
     /// ```
     #[must_use]
     pub fn first_of(era: Era) -> Self {
-        Self(era.0.saturating_mul(Self::OF_AN_ERA))
+        Self(era.0.saturating_mul(Self::TOKENS_PER_ERA))
     }
 }
 
