--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -123,7 +123,7 @@
 }
 
 const MOST_DISPATCHES: usize = 3;
-const COME_BACK: Span = Span(1_000);
+const RETRY_AFTER: Span = Span(1_000);
 
 impl Call {
     /// Returns a call that has not begun.
@@ -326,7 +326,7 @@
         self.phase = Phase::Done;
         let mut refusal = Refusal::not_run(reason, detail).verdict(self.verdict);
         if self.verdict.may_retry(self.spec.idempotent) {
-            refusal = refusal.retry_after(COME_BACK);
+            refusal = refusal.retry_after(RETRY_AFTER);
         }
         let release = self.held.take().filter(|_| self.verdict == Verdict::NotRun);
         let release = release.map(Action::Release);
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -119,7 +119,7 @@
 const TAKE_OVER_AFTER: Span = Span(10_000);
 
 /// What a caller is told to wait while the first request has not ended, or the service is away.
-const COME_BACK: Span = Span(2_000);
+const RETRY_AFTER: Span = Span(2_000);
 
 impl Claim {
     /// Returns a claim with its entry's nonce and its request's fingerprint.
@@ -188,7 +188,7 @@
         let detail = "the first request with this key has not ended";
         let refusal = Refusal::not_run(Reason::Duplicate, detail)
             .verdict(Verdict::MayHaveRun)
-            .retry_after(COME_BACK);
+            .retry_after(RETRY_AFTER);
         refuse(refusal)
     }
 
@@ -208,7 +208,7 @@
 
 fn away() -> Action {
     let detail = "the key-value service does not answer, and this request needs a claim";
-    refuse(Refusal::not_run(Reason::NoClaim, detail).retry_after(COME_BACK))
+    refuse(Refusal::not_run(Reason::NoClaim, detail).retry_after(RETRY_AFTER))
 }
 
 fn refuse(refusal: Refusal) -> Action {
