--- a/crates/core/src/session/call.rs
+++ b/crates/core/src/session/call.rs
@@ -163,7 +163,7 @@
 
     /// Begins a new epoch on the current route.
     fn open(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if self.epoch.0 >= self.settings.most_epochs {
+        if self.epoch.0 >= self.settings.max_epochs {
             self.fail(Reason::BackendFailed, "the path failed too often", actions);
             return;
         }
@@ -334,7 +334,7 @@
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         match self.phase {
             Phase::Choosing { since, asked } => {
-                if self.epoch == Epoch(0) || now.since(asked) < self.settings.look_again {
+                if self.epoch == Epoch(0) || now.since(asked) < self.settings.retry_interval {
                     return;
                 }
                 self.phase = Phase::Choosing { since, asked: now };
--- a/crates/core/src/session/message.rs
+++ b/crates/core/src/session/message.rs
@@ -31,9 +31,9 @@
     /// How long a begun answer looks for a new path before it fails.
     pub patience: Span,
     /// How long to wait before the next look.
-    pub look_again: Span,
+    pub retry_interval: Span,
     /// The most epochs that one request may use.
-    pub most_epochs: u64,
+    pub max_epochs: u64,
     /// What a caller is told to wait when there is no path.
     pub retry_after: Span,
 }
@@ -43,8 +43,8 @@
         Self {
             stall: Span(3_000),
             patience: Span(5_000),
-            look_again: Span(100),
-            most_epochs: 64,
+            retry_interval: Span(100),
+            max_epochs: 64,
             retry_after: Span(2_000),
         }
     }
