--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -15,12 +15,11 @@
     /// State in memory is lost on a restart. Without this number, an unknown request at a restarted
     /// process would look like a request that never ran.
     BootId;
-    /// The number of one path of a request; it grows with every change of path.
+    /// Numbers the paths of a request; it grows with every change of path.
     ///
-    /// A stage that hears an older epoch refuses the step: without this, a stage that was paused
-    /// while it was replaced would extend a cache that nobody reads, and its late token could be
-    /// taken for the successor's. Epochs are given out by one entry only, so comparing numbers is
-    /// enough.
+    /// A stage rejects steps of an older epoch. Otherwise a stage that was paused while it was
+    /// replaced could extend an unused cache, and its late token could be taken for that of its
+    /// replacement. A single entry assigns all epochs of a request.
     ///
     /// # Examples
     ///
@@ -31,7 +30,7 @@
     /// # Ok::<(), std::num::ParseIntError>(())
     /// ```
     Epoch;
-    /// The place of a token in a request's sequence: prompt first, then the answer.
+    /// The index of a token in a request's sequence: the prompt, then the answer.
     Position;
 }
 
@@ -42,14 +41,14 @@
         Self(self.0 + count as u64)
     }
 
-    /// Returns how many positions lie from `earlier` up to this one; zero when there are none.
+    /// Returns the number of positions from `earlier` up to this one; zero if `earlier` is later.
     #[must_use]
     pub fn distance(self, earlier: Self) -> usize {
         self.0.saturating_sub(earlier.0) as usize
     }
 }
 
-/// The identifier of a request: which run of which entry accepted it, and its number there.
+/// Identifies a request by the run of the entry that accepted it and its number there.
 ///
 /// # Examples
 ///
@@ -69,7 +68,7 @@
     pub number: u64,
 }
 
-/// A text that is not a request identifier.
+/// Error of parsing a malformed request identifier.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("expected 16 hex digits, a dash and a number")]
 pub struct BadRequest;
