--- a/crates/core/src/at_most_once.rs
+++ b/crates/core/src/at_most_once.rs
@@ -11,21 +11,21 @@
 use crate::time::Span;
 use crate::verdict::Verdict;
 
-/// How far a call has come.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub enum State {
-    /// Taken, and nothing sent to the backend server yet.
+    /// Accepted; nothing has been sent to the backend server yet.
     Received,
-    /// Bytes went to the backend server: it may have acted.
+    /// Bytes were sent to the backend server, so it may have acted.
     Handed,
     /// The backend server answered with this status.
     Answered(u16),
-    /// Proved not to have run; a late copy is refused.
+    /// Known not to have run; a late copy is refused.
     Closed,
 }
 
 impl State {
-    /// Returns what may be said of a call in this state.
+    /// Returns the verdict on a call in this state.
     ///
     /// # Examples
     ///
@@ -37,7 +37,7 @@
     #[must_use]
     pub fn verdict(self) -> Verdict {
         match self {
-            // A call that is only received will be handed on in the next moment.
+            // A received call is about to be forwarded.
             Self::Received | Self::Handed => Verdict::MayHaveRun,
             Self::Answered(_) => Verdict::Ran,
             Self::Closed => Verdict::NotRun,
@@ -45,19 +45,19 @@
     }
 }
 
-/// Why a call was not taken. It did not run through this dispatch.
+/// Why a dispatch was refused; it did not run the call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Refused {
-    /// The dispatch was meant for an earlier run of this sidecar.
+    /// The dispatch was addressed to an earlier run of this sidecar.
     #[error("the sidecar has restarted")]
     Restarted,
-    /// The backend server is leaving.
+    /// The backend server is draining.
     #[error("the backend server is leaving")]
     Draining,
-    /// Every slot is taken.
+    /// All slots are in use.
     #[error("no slot is free")]
     Busy,
-    /// A copy of a call that was taken before; its state is given.
+    /// The call was accepted before; it is in this state.
     #[error("the call was taken before")]
     Repeated(State),
 }
@@ -68,7 +68,7 @@
     at: Instant,
 }
 
-/// The at-most-once deduplicator.
+/// Records the calls of one run of a sidecar, so that each runs at most once.
 ///
 /// # Examples
 ///
@@ -86,25 +86,24 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Deduplicator {
-    incarnation: BootId,
+    boot: BootId,
     slots: usize,
     busy: usize,
     draining: bool,
     records: BTreeMap<Request, Record>,
 }
 
-/// How long an ended call is remembered.
+/// How long an ended call is kept, so that late copies are recognized.
 ///
-/// An entry settles a call within seconds of losing it, and closes the connection that carried it;
-/// ten minutes outlast both by far.
-const REMEMBER: Span = Span(600_000);
+/// Entries settle a lost call and close its connection within seconds.
+const RETENTION: Span = Span(600_000);
 
 impl Deduplicator {
     /// Returns an empty deduplicator for one run of a sidecar.
     #[must_use]
-    pub fn new(incarnation: BootId, slots: usize) -> Self {
+    pub fn new(boot: BootId, slots: usize) -> Self {
         Self {
-            incarnation,
+            boot,
             slots,
             busy: 0,
             draining: false,
@@ -112,13 +111,13 @@
         }
     }
 
-    /// Returns how many calls are in flight.
+    /// Returns the number of calls in flight.
     #[must_use]
     pub fn busy(&self) -> usize {
         self.busy
     }
 
-    /// Sets how many calls are taken at a time.
+    /// Sets the maximum number of concurrent calls.
     pub fn set_slots(&mut self, slots: usize) {
         self.slots = slots;
     }
@@ -128,13 +127,18 @@
         self.draining = true;
     }
 
-    /// Takes a call that was meant for a given run of this sidecar.
+    /// Accepts a call that is addressed to a given run of this sidecar.
     ///
     /// # Errors
     ///
-    /// See [`Refused`]; the call does not run through this dispatch.
-    pub fn begin(&mut self, now: Instant, call: Request, meant_for: BootId) -> Result<(), Refused> {
-        if meant_for != self.incarnation {
+    /// See [`Refused`]; this dispatch must not run the call.
+    pub fn begin(
+        &mut self,
+        now: Instant,
+        call: Request,
+        addressed_to: BootId,
+    ) -> Result<(), Refused> {
+        if addressed_to != self.boot {
             return Err(Refused::Restarted);
         }
         if let Some(record) = self.records.get(&call) {
@@ -152,25 +156,25 @@
         Ok(())
     }
 
-    /// Books how far a call has come.
+    /// Records the progress of a call.
     pub fn advance(&mut self, now: Instant, call: Request, state: State) {
         if let Some(record) = self.records.get_mut(&call) {
             *record = Record { state, at: now };
         }
     }
 
-    /// Frees the slot of a call that has ended, whatever became of it.
+    /// Frees the slot of a call that ended, whatever its outcome.
     pub fn end(&mut self) {
         self.busy = self.busy.saturating_sub(1);
     }
 
-    /// Says what became of a call that was meant for a given run of this sidecar.
+    /// Returns the verdict on a call that was addressed to a given run of this sidecar.
     ///
-    /// A call that is not known is closed first: its bytes may still be on the way, and saying
-    /// `not-run` of a call that arrives a moment later would double an approval. After a restart
-    /// nothing is known of earlier calls, hence `may-have-run`.
-    pub fn settle(&mut self, now: Instant, call: Request, meant_for: BootId) -> Verdict {
-        if meant_for != self.incarnation {
+    /// An unknown call is closed first: its bytes may still be in transit, and a call that arrives
+    /// after a `not-run` verdict would run twice once the caller retries. Calls of earlier runs are
+    /// unknown, hence `may-have-run`.
+    pub fn settle(&mut self, now: Instant, call: Request, addressed_to: BootId) -> Verdict {
+        if addressed_to != self.boot {
             return Verdict::MayHaveRun;
         }
         let closed = Record {
@@ -180,16 +184,16 @@
         self.records.entry(call).or_insert(closed).state.verdict()
     }
 
-    /// Returns how far a call has come; `None` when it is not known.
+    /// Returns the state of a call; `None` if it is unknown.
     #[must_use]
     pub fn state(&self, call: Request) -> Option<State> {
         self.records.get(&call).map(|record| record.state)
     }
 
-    /// Forgets what ended long ago.
+    /// Removes calls that ended longer than the retention time ago.
     pub fn tick(&mut self, now: Instant) {
         let in_flight = |state| matches!(state, State::Received | State::Handed);
-        let recent = |record: &Record| now.since(record.at) <= REMEMBER;
+        let recent = |record: &Record| now.since(record.at) <= RETENTION;
         self.records
             .retain(|_, record| in_flight(record.state) || recent(record));
     }
