--- a/crates/core/src/fence.rs
+++ b/crates/core/src/fence.rs
@@ -6,7 +6,7 @@
 use crate::time::Span;
 
 numbers! {
-    /// A fencing number: a later holder of the lease has a larger one.
+    /// A fencing token; later holders of the lease get larger ones.
     Token;
 }
 
@@ -14,10 +14,10 @@
     /// Enough for months: a term lasts for seconds and uses one token.
     const TOKENS_PER_ERA: u64 = 1_000_000;
 
-    /// Returns the least number of an era.
+    /// Returns the smallest token of an era.
     ///
-    /// A store that has forgotten the last numbers would give them out again, and an engine could not tell the
-    /// orders of two planners apart.
+    /// A store that was restored from an older copy would otherwise issue recent tokens again, and an
+    /// engine could not distinguish the orders of two planners.
     ///
     /// # Examples
     ///
@@ -32,28 +32,27 @@
     }
 }
 
-/// Why an order was not passed on.
+/// Why an order was not forwarded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Refused {
-    /// A later holder has given an order, or has taken the lease.
+    /// A later holder has sent an order or acquired the lease.
     #[error("fencing number {offered} is older than {known}")]
     Old {
-        /// What came.
+        /// The token of the order.
         offered: Token,
-        /// What is known.
+        /// The largest token seen.
         known: Token,
     },
-    /// This sidecar has started and has not yet read the current number.
+    /// This sidecar has not read the current token since its start.
     #[error("the current fencing number is not known yet")]
     NotKnownYet,
 }
 
-/// The check that a sidecar makes before it passes an order to its engine.
+/// Rejects outdated orders at a sidecar before they reach its engine.
 ///
-/// Some engines ignore the number. A holder that was paused past its lease does not know that it
-/// has a successor; its order would undo the successor's. The sidecar is the only way to the
-/// engine, and it starts from the number that it reads from the key-value service, so that its own
-/// restart opens no gap.
+/// Some engines ignore the token. An order of a holder that was paused past its lease would undo the
+/// orders of its successor. The sidecar reads the current token from the key-value service on start,
+/// so that its own restart admits no outdated order.
 ///
 /// # Examples
 ///
@@ -72,16 +71,16 @@
 }
 
 impl Gate {
-    /// Takes a number that was read from the key-value service.
+    /// Applies a token that was read from the key-value service.
     pub fn learn(&mut self, token: Token) {
         self.known = self.known.max(Some(token));
     }
 
-    /// Checks an order's number.
+    /// Checks the token of an order.
     ///
     /// # Errors
     ///
-    /// The number is old, or the current one is not known yet.
+    /// The token is outdated, or the current one is not known yet.
     pub fn admit(&mut self, offered: Token) -> Result<(), Refused> {
         let known = self.known.ok_or(Refused::NotKnownYet)?;
         if offered < known {
@@ -95,19 +94,19 @@
 /// A lease as its holder sees it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeldLease {
-    /// The number under which it gives orders.
+    /// The token of the holder's orders.
     pub token: Token,
-    /// When the last renewal that succeeded was sent.
+    /// When the last successful renewal was sent.
     pub renewed: Instant,
     /// How long the service keeps the lease after a renewal.
     pub ttl: Span,
 }
 
 impl HeldLease {
-    /// Tells whether an order may still be given.
+    /// Returns whether orders may still be sent.
     ///
-    /// Counted from when the renewal was sent, not from when its answer came: the service counts
-    /// from somewhere in between. A pause between this check and the order is what [`Gate`] covers.
+    /// Measured from the sending of the renewal, since the service may have applied it at any time
+    /// before its answer arrived. [`Gate`] covers a pause between this check and the order.
     ///
     /// # Examples
     ///
