--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,9 +1,9 @@
-//! Retry budgets: a failure must not multiply load.
+//! Retry budgets, which limit the extra load of retries.
 
-/// A token bucket that successes fill.
+/// A token bucket that is refilled by successes.
 ///
-/// When a service fails as a whole, every request would be tried as often as the limit allows, and
-/// the extra load keeps the service down. A budget that only successes fill runs dry at once.
+/// When a whole service fails, retries would multiply the load on it and delay its recovery. Without
+/// successes the budget is soon empty.
 ///
 /// # Examples
 ///
@@ -16,38 +16,39 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// What is there now, in thousandths of a retry.
-    pub filled: u64,
-    /// What a success adds, in thousandths of a retry.
+    /// The current level, in thousandths of a retry.
+    pub level: u64,
+    /// The refill per success, in thousandths of a retry.
     pub per_success: u64,
-    /// The most that is kept, in thousandths of a retry.
-    pub most: u64,
+    /// The capacity, in thousandths of a retry.
+    pub capacity: u64,
 }
 
-const ONE: u64 = 1000;
+/// One retry, in the unit of [`Budget::level`].
+const RETRY: u64 = 1000;
 
 impl Default for Budget {
     fn default() -> Self {
         Self {
-            filled: 10 * ONE,
-            per_success: ONE / 10,
-            most: 50 * ONE,
+            level: 10 * RETRY,
+            per_success: RETRY / 10,
+            capacity: 50 * RETRY,
         }
     }
 }
 
 impl Budget {
-    /// Books a success.
+    /// Refills the budget after a success.
     pub fn succeeded(&mut self) {
-        self.filled = (self.filled + self.per_success).min(self.most);
+        self.level = (self.level + self.per_success).min(self.capacity);
     }
 
-    /// Takes one retry; `false` when the budget is spent.
+    /// Spends one retry; returns `false` if the budget is exhausted.
     pub fn take(&mut self) -> bool {
-        if self.filled < ONE {
+        if self.level < RETRY {
             return false;
         }
-        self.filled -= ONE;
+        self.level -= RETRY;
         true
     }
 }
