--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/verdict.rs
@@ -6,10 +6,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What is known of a request's effect; it travels with every error.
+/// Whether a request may have run; sent with every error.
 ///
-/// A caller repeats a non-idempotent request only on `NotRun`. Saying `NotRun` of a request that
-/// ran doubles an approval; hence every path that is not proved otherwise says `MayHaveRun`.
+/// A caller retries a non-idempotent request only on `NotRun`. A false `NotRun` would make it run
+/// twice, so that `MayHaveRun` is the verdict in every case that is not certain.
 ///
 /// # Examples
 ///
@@ -22,21 +22,21 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// Proved: no backend server acted on it, and none will.
+    /// No backend server acted on it, and none will.
     NotRun,
-    /// A backend server may have acted on it, or may still.
+    /// A backend server may have acted on it, or may still do so.
     MayHaveRun,
     /// A backend server acted on it.
     Ran,
 }
 
-/// A text that is not a verdict.
+/// Error of parsing an unknown verdict.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("expected `not-run`, `may-have-run` or `ran`")]
 pub struct BadVerdict;
 
 impl Verdict {
-    /// Tells whether another try is safe.
+    /// Returns whether a retry is safe.
     #[must_use]
     pub fn may_retry(self, idempotent: bool) -> bool {
         self == Self::NotRun || idempotent
