--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The final word on a request that got no answer.
+//! Refusals and failures as they are reported to callers.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::time::Span;
 use crate::verdict::Verdict;
 
-/// Why a request got no answer.
+/// Why a request was not answered.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -18,13 +18,13 @@
     Forbidden,
     /// No such service, or nothing at that address.
     Unknown,
-    /// The request itself is wrong.
+    /// The request is malformed.
     Invalid,
     /// The idempotency key was used for a different request.
     KeyReused,
-    /// The idempotency key's first request has not ended, or has ended and cannot be shown again.
+    /// The first request with this idempotency key is still running, or its answer was not kept.
     Duplicate,
-    /// The wait would outlast the deadline, or the customer's limit is reached.
+    /// The request would wait past its deadline, or the customer has reached a limit.
     Overloaded,
     /// No path through live backend servers.
     NoPath,
@@ -61,21 +61,21 @@
     }
 }
 
-/// A refusal or failure as the caller is told it.
+/// A refusal or failure as it is reported to the caller.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The cause.
     pub reason: Reason,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// When to come back, where that makes sense.
+    /// When to retry, if a retry makes sense.
     pub retry_after: Option<Span>,
-    /// One sentence for a person.
+    /// A description for people.
     pub detail: Arc<str>,
 }
 
 impl Refusal {
-    /// Returns a refusal of a request that was not run.
+    /// Returns a refusal of a request that has not run.
     ///
     /// # Examples
     ///
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Returns the same refusal with the time after which to come back.
+    /// Sets the time after which to retry.
     #[must_use]
     pub fn retry_after(mut self, span: Span) -> Self {
         self.retry_after = Some(span);
         self
     }
 
-    /// Returns the same refusal with another verdict.
+    /// Sets the verdict.
     #[must_use]
     pub fn verdict(mut self, verdict: Verdict) -> Self {
         self.verdict = verdict;
