--- a/crates/core/src/number.rs
+++ b/crates/core/src/number.rs
@@ -1,9 +1,6 @@
-//! The one macro of the crate: newtypes over whole numbers.
+//! A macro that declares newtypes over integers.
 
 /// Declares newtypes over `u64` with `Display` and `FromStr`.
-///
-/// A function cannot declare types, and a dozen hand-written copies of the same two impls would
-/// drift apart; hence a macro.
 macro_rules! numbers {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
--- a/crates/core/src/revision.rs
+++ b/crates/core/src/revision.rs
@@ -3,7 +3,7 @@
 use crate::number::numbers;
 
 numbers! {
-    /// The number of a change to the store; 0 stands for a key that is not there.
+    /// The number of a change to the store; 0 for a missing key.
     ///
     /// # Examples
     ///
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,9 +1,9 @@
-//! Time as the controllers see it: a number that is passed in.
+//! Time values, which callers pass to the controllers.
 
 use crate::number::numbers;
 
 numbers! {
-    /// Milliseconds since an origin that the process chose.
+    /// A point in time, in milliseconds since an origin that the process chooses.
     ///
     /// # Examples
     ///
@@ -15,7 +15,7 @@
     /// # Ok::<(), std::num::ParseIntError>(())
     /// ```
     Instant;
-    /// A length of time in milliseconds.
+    /// A duration in milliseconds.
     Span;
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Span {
-    /// Returns the whole seconds, rounded up, at least 1: the unit of `Retry-After`.
+    /// Returns the value of a `Retry-After` header: whole seconds, rounded up, at least 1.
     ///
     /// # Examples
     ///
