--- a/crates/core/src/call.rs
+++ b/crates/core/src/call.rs
@@ -1,8 +1,8 @@
-//! One call to a plain service, from the choice of a backend server to the final word.
+//! One call to a plain service, from the choice of a backend server to its answer or refusal.
 //!
-//! A call is dispatched again only when it is proved that it did not run, or when it may be repeated.
-//! A call with an idempotency key is dispatched only under a claim that names the dispatch, so that
-//! whoever finds the claim later can ask the right sidecar what became of it.
+//! A call is retried only if it is idempotent or known not to have run. A call with an idempotency
+//! key is dispatched only under a claim that names the dispatch, so that other entries can ask the
+//! right sidecar for its outcome.
 
 use std::sync::Arc;
 
@@ -21,30 +21,30 @@
 use crate::time::Span;
 use crate::verdict::Verdict;
 
-/// A key and what it stands for.
+/// An idempotency key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Key {
-    /// Drawn for this request.
+    /// Random, unique to this request.
     pub nonce: Arc<str>,
     /// The digest of the method, path and body.
     pub fingerprint: Arc<str>,
 }
 
-/// What is to be called.
+/// The properties of a call.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Spec {
-    /// Whether it may be repeated.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Whether its body is kept for another dispatch.
+    /// Whether its body is kept for retries.
     pub replayable: bool,
     /// Its idempotency key.
     pub key: Option<Key>,
 }
 
-/// One dispatch: which call goes to which run of which sidecar.
+/// A dispatch of a call to one run of a sidecar.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Dispatch {
-    /// The number under which the sidecar's ledger knows it; new for each dispatch.
+    /// Identifies the dispatch at the sidecar; new for each dispatch.
     pub call: Request,
     /// The backend server.
     pub server: Option<Server>,
@@ -52,30 +52,30 @@
     pub sidecar: BootId,
 }
 
-/// What the entry is to do.
+/// A request to the entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Choose a backend server, none of these, and report it with `chosen`.
+    /// Choose a backend server other than these and report it with `chosen`.
     Choose(Vec<Server>),
-    /// Write the claim if there is none, and report with `claimed`.
+    /// Write the claim if there is none and report the outcome with `claimed`.
     Create(Record),
-    /// Read the claim, and report with `claimed`.
+    /// Read the claim and report the outcome with `claimed`.
     Read,
-    /// Replace exactly the first record by the second, and report with `claimed`.
+    /// Replace the first record, if unchanged, with the second and report with `claimed`.
     Replace(Record, Record),
-    /// Dispatch, and report with `answered`, `refused` or `lost`.
+    /// Send the dispatch and report with `answered`, `refused` or `lost`.
     Dispatch(Dispatch),
-    /// Ask the sidecar's ledger what became of this dispatch, and report with `settled`.
+    /// Ask the sidecar for the outcome of this dispatch and report it with `settled`.
     Settle(Dispatch),
-    /// Give the service's answer to the caller.
+    /// Return the service's answer to the caller.
     Answer,
-    /// Keep the answer with the claim; in the background.
+    /// Store the answer with the claim, in the background.
     Finish(Record),
-    /// Remove exactly this claim; in the background.
+    /// Remove the claim, if unchanged, in the background.
     Release(Record),
-    /// Give the caller the answer that the first request had.
+    /// Return the answer of the first request with this key to the caller.
     Replay(Answer),
-    /// Give the caller this refusal.
+    /// Return this refusal to the caller.
     Refuse(Arc<Refusal>),
 }
 
@@ -83,17 +83,17 @@
 enum Phase {
     Choosing,
     Claiming,
-    /// The claim moves to another dispatch.
+    /// Moves the claim to another dispatch.
     Moving(Record),
     Dispatched,
-    /// Asks about its own dispatch.
+    /// Asks for the outcome of its own dispatch.
     Settling,
-    /// Asks about the dispatch under somebody else's claim.
+    /// Asks for the outcome of the dispatch under the claim of another request.
     SettlingOther(Record),
     Done,
 }
 
-/// A call.
+/// The state machine of a call.
 ///
 /// # Examples
 ///
@@ -115,18 +115,18 @@
     claim: Option<Claim>,
     phase: Phase,
     dispatch: Dispatch,
-    /// The claim that is held.
+    /// The claim that this call holds.
     held: Option<Record>,
     tried: Vec<Server>,
-    /// What is known of the last dispatch.
+    /// The verdict on the last dispatch.
     verdict: Verdict,
 }
 
-const MOST_DISPATCHES: usize = 3;
+const MAX_DISPATCHES: usize = 3;
 const RETRY_AFTER: Span = Span(1_000);
 
 impl Call {
-    /// Returns a call that has not begun.
+    /// Returns a call that has not started.
     #[must_use]
     pub fn new(spec: Spec) -> Self {
         let claim = spec
@@ -150,19 +150,19 @@
         vec![Action::Choose(Vec::new())]
     }
 
-    /// Tells whether the caller has had the last word.
+    /// Returns whether the call has ended for the caller.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.phase == Phase::Done
     }
 
-    /// Takes the choice, at a time in milliseconds of the Unix epoch.
+    /// Handles the chosen dispatch; `now` is in milliseconds since the Unix epoch.
     pub fn chosen(&mut self, now: u64, dispatch: Option<Dispatch>) -> Vec<Action> {
         if self.phase != Phase::Choosing {
             return Vec::new();
         }
         let Some(dispatch) = dispatch else {
-            return self.end(Reason::NoPath, "no live backend server");
+            return self.refuse(Reason::NoPath, "no live backend server");
         };
         self.dispatch = dispatch;
         if let Some(held) = &self.held {
@@ -174,7 +174,7 @@
             return vec![Action::Replace(held.clone(), moved)];
         }
         let Some(key) = self.spec.key.clone() else {
-            return self.go();
+            return self.send_dispatch();
         };
         self.phase = Phase::Claiming;
         let record = Record {
@@ -197,28 +197,28 @@
         }
     }
 
-    fn go(&mut self) -> Vec<Action> {
+    fn send_dispatch(&mut self) -> Vec<Action> {
         self.phase = Phase::Dispatched;
         vec![Action::Dispatch(self.dispatch.clone())]
     }
 
-    /// Takes what the key-value service answered about the claim.
+    /// Handles the answer of the key-value service about the claim.
     pub fn claimed(&mut self, now: u64, outcome: Outcome) -> Vec<Action> {
         match self.phase.clone() {
             Phase::Claiming => {
                 let Some(claim) = &mut self.claim else {
                     return Vec::new();
                 };
-                let action = claim.on(now, outcome);
-                self.follow(action)
+                let action = claim.handle(now, outcome);
+                self.perform(action)
             }
             Phase::Moving(moved) => self.moved(moved, outcome),
             _ => Vec::new(),
         }
     }
 
-    /// Does what the claim says.
-    fn follow(&mut self, action: claim::Action) -> Vec<Action> {
+    /// Carries out an action of the claim.
+    fn perform(&mut self, action: claim::Action) -> Vec<Action> {
         let record = self.held.clone();
         match (action, record) {
             (claim::Action::Create, Some(record)) => vec![Action::Create(record)],
@@ -226,7 +226,7 @@
                 vec![Action::Replace(before, record)]
             }
             (claim::Action::Read, _) => vec![Action::Read],
-            (claim::Action::Go, _) => self.go(),
+            (claim::Action::Dispatch, _) => self.send_dispatch(),
             (claim::Action::Settle(found), _) => {
                 let dispatch = Dispatch {
                     call: found.call,
@@ -236,38 +236,38 @@
                 self.phase = Phase::SettlingOther(found);
                 vec![Action::Settle(dispatch)]
             }
-            (claim::Action::Replay(answer), _) => self.last(Action::Replay(answer)),
-            (claim::Action::Refuse(refusal), _) => self.last(Action::Refuse(refusal)),
+            (claim::Action::Replay(answer), _) => self.finish(Action::Replay(answer)),
+            (claim::Action::Refuse(refusal), _) => self.finish(Action::Refuse(refusal)),
             (claim::Action::Create | claim::Action::Replace(_), None) => Vec::new(),
         }
     }
 
-    fn last(&mut self, action: Action) -> Vec<Action> {
+    fn finish(&mut self, action: Action) -> Vec<Action> {
         self.phase = Phase::Done;
         vec![action]
     }
 
-    /// Dispatches again only when the claim surely names the new dispatch.
+    /// Retries only if the claim is known to name the new dispatch.
     ///
-    /// Somebody who takes the claim over asks the sidecar that it names: if that were still the old
-    /// one, it would truly say "not run" of the old dispatch while the new one runs.
+    /// An entry that takes the claim over asks the sidecar that the claim names. If that were still
+    /// the old one, it would report the old dispatch as not run while the new one runs.
     fn moved(&mut self, moved: Record, outcome: Outcome) -> Vec<Action> {
-        let sure = match outcome {
+        let is_moved = match outcome {
             Outcome::Created => true,
-            Outcome::Found(there) => there == moved,
+            Outcome::Found(found) => found == moved,
             Outcome::Absent | Outcome::Unknown | Outcome::Down => false,
         };
-        if sure {
+        if is_moved {
             self.held = Some(moved);
-            return self.go();
+            return self.send_dispatch();
         }
-        self.end(
+        self.refuse(
             Reason::NoClaim,
             "the claim could not be moved to another backend server",
         )
     }
 
-    /// Books that the service answered.
+    /// Handles an answer of the service.
     pub fn answered(&mut self) -> Vec<Action> {
         if self.phase != Phase::Dispatched {
             return Vec::new();
@@ -277,7 +277,7 @@
         std::iter::once(Action::Answer).chain(finish).collect()
     }
 
-    /// Takes the sidecar's own word that the service did not answer.
+    /// Handles a report of the sidecar that the service did not answer.
     pub fn refused(&mut self, verdict: Verdict, budget: &mut Budget) -> Vec<Action> {
         if self.phase != Phase::Dispatched {
             return Vec::new();
@@ -285,7 +285,7 @@
         self.failed(verdict, budget)
     }
 
-    /// Takes word that nothing is known of the dispatch: the sidecar's ledger is asked.
+    /// Handles the loss of a dispatch, whose outcome the sidecar is then asked for.
     pub fn lost(&mut self) -> Vec<Action> {
         if self.phase != Phase::Dispatched {
             return Vec::new();
@@ -294,7 +294,7 @@
         vec![Action::Settle(self.dispatch.clone())]
     }
 
-    /// Takes what a sidecar's ledger says; `MayHaveRun` when it could not be asked.
+    /// Handles the verdict of a sidecar; `MayHaveRun` if it did not answer.
     pub fn settled(&mut self, verdict: Verdict, budget: &mut Budget) -> Vec<Action> {
         match self.phase.clone() {
             Phase::Settling => self.failed(verdict, budget),
@@ -304,7 +304,7 @@
                     return Vec::new();
                 };
                 let action = claim.settled(found, verdict);
-                self.follow(action)
+                self.perform(action)
             }
             _ => Vec::new(),
         }
@@ -313,16 +313,16 @@
     fn failed(&mut self, verdict: Verdict, budget: &mut Budget) -> Vec<Action> {
         self.verdict = verdict;
         self.tried.extend(self.dispatch.server.clone());
-        let safe = verdict.may_retry(self.spec.idempotent) && self.spec.replayable;
-        if safe && self.tried.len() < MOST_DISPATCHES && budget.take() {
+        let may_retry = verdict.may_retry(self.spec.idempotent) && self.spec.replayable;
+        if may_retry && self.tried.len() < MAX_DISPATCHES && budget.take() {
             self.phase = Phase::Choosing;
             return vec![Action::Choose(self.tried.clone())];
         }
-        self.end(Reason::BackendFailed, "the backend server did not answer")
+        self.refuse(Reason::BackendFailed, "the backend server did not answer")
     }
 
-    /// Gives the last word; the key is freed only when nothing ran under it.
-    fn end(&mut self, reason: Reason, detail: &str) -> Vec<Action> {
+    /// Refuses the call; its key is released only if the call has not run.
+    fn refuse(&mut self, reason: Reason, detail: &str) -> Vec<Action> {
         self.phase = Phase::Done;
         let mut refusal = Refusal::not_run(reason, detail).verdict(self.verdict);
         if self.verdict.may_retry(self.spec.idempotent) {
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: one idempotency key, one run, whichever entry hears of it.
+//! Claims, which let a request with an idempotency key run once across all entries.
 
 use std::sync::Arc;
 
@@ -13,79 +13,79 @@
 use crate::time::Span;
 use crate::verdict::Verdict;
 
-/// How far the claimed call has come.
+/// The progress of the claimed call.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Progress {
-    /// Its entry may have dispatched it.
+    /// It may have been dispatched.
     Held,
     /// It ended.
     Done(Answer),
 }
 
-/// What is kept of a finished answer.
+/// The stored part of an answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body's content type, if it had one.
+    /// The content type of the body.
     pub content_type: Option<String>,
-    /// The body's digest.
+    /// The digest of the body.
     pub digest: String,
-    /// The body, when it is short enough to be kept.
+    /// The body, if it is short enough to be stored.
     pub body: Option<String>,
 }
 
-/// A claim as it stands in the key-value service.
+/// A claim as stored in the key-value service.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Drawn for this claim: after a lost answer its entry knows its own record by it.
+    /// Random, unique to this claim; lets an entry recognize its own record after a lost answer.
     pub nonce: String,
-    /// The call, under which the sidecar's ledger knows it.
+    /// Identifies the dispatch at the sidecar.
     pub call: Request,
     /// The digest of the method, path and body.
     pub fingerprint: String,
-    /// Where the call is dispatched.
+    /// The backend server of the dispatch.
     pub server: Server,
-    /// The run of that server's sidecar.
+    /// The run of its sidecar.
     pub sidecar: BootId,
-    /// When it was claimed, in milliseconds of the Unix epoch; only used to be patient.
+    /// When it was claimed, in milliseconds since the Unix epoch; used to delay a takeover.
     pub at: u64,
-    /// How far it has come.
+    /// Its progress.
     pub progress: Progress,
 }
 
-/// What a write or read of the claim gave.
+/// The result of a write or read of the claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The record was written.
     Created,
-    /// There is a record.
+    /// A record exists.
     Found(Record),
-    /// There is none.
+    /// No record exists.
     Absent,
-    /// No answer: the write may have taken effect.
+    /// There was no answer; the write may have taken effect.
     Unknown,
-    /// The service cannot be reached: the write was not sent.
+    /// The service is unreachable; nothing was sent.
     Down,
 }
 
-/// What the entry is to do next.
+/// A request to the entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Write the record if there is none.
     Create,
     /// Read the record.
     Read,
-    /// Dispatch: the claim is ours.
-    Go,
-    /// Ask the sidecar named in the record what became of its call, and report it.
+    /// Dispatch the call; this request holds the claim.
+    Dispatch,
+    /// Ask the sidecar that the record names for the outcome of its call and report it.
     Settle(Record),
-    /// Replace exactly this record by ours.
+    /// Replace this record, if unchanged, with that of this request.
     Replace(Record),
-    /// Give the caller the answer that the first request had.
+    /// Return the answer of the first request with this key to the caller.
     Replay(Answer),
-    /// Give the caller this refusal.
+    /// Return this refusal to the caller.
     Refuse(Arc<Refusal>),
 }
 
@@ -99,9 +99,9 @@
 /// # use jujube_core::claim::Outcome;
 /// let mut claim = Claim::new("nonce", "fingerprint");
 /// assert_eq!(claim.start(), Action::Create);
-/// assert_eq!(claim.on(0, Outcome::Unknown), Action::Read);
-/// assert_eq!(claim.on(0, Outcome::Absent), Action::Create);
-/// assert_eq!(claim.on(0, Outcome::Created), Action::Go);
+/// assert_eq!(claim.handle(0, Outcome::Unknown), Action::Read);
+/// assert_eq!(claim.handle(0, Outcome::Absent), Action::Create);
+/// assert_eq!(claim.handle(0, Outcome::Created), Action::Dispatch);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Claim {
@@ -111,18 +111,17 @@
     replacing: bool,
 }
 
-/// How often an unclear answer of the service is looked into.
-const MOST_TRIES: u32 = 3;
+/// How often a write is tried again while its outcome is unknown.
+const MAX_TRIES: u32 = 3;
 
-/// How old a held claim must be before its call is settled by somebody else: a live entry ends its
-/// calls itself.
-const TAKE_OVER_AFTER: Span = Span(10_000);
+/// How old a held claim must be before another entry settles its call; a live entry settles its own.
+const MIN_TAKEOVER_AGE: Span = Span(10_000);
 
-/// What a caller is told to wait while the first request has not ended, or the service is away.
+/// Sent to callers while the first request is running or the key-value service is unavailable.
 const RETRY_AFTER: Span = Span(2_000);
 
 impl Claim {
-    /// Returns a claim with its entry's nonce and its request's fingerprint.
+    /// Returns a claim with a nonce and the fingerprint of its request.
     pub fn new(nonce: impl Into<Arc<str>>, fingerprint: impl Into<Arc<str>>) -> Self {
         Self {
             nonce: nonce.into(),
@@ -138,12 +137,12 @@
         Action::Create
     }
 
-    /// Takes what the service answered, at a time in milliseconds of the Unix epoch.
-    pub fn on(&mut self, now: u64, outcome: Outcome) -> Action {
+    /// Handles an answer of the service; `now` is in milliseconds since the Unix epoch.
+    pub fn handle(&mut self, now: u64, outcome: Outcome) -> Action {
         match outcome {
-            Outcome::Created => Action::Go,
-            Outcome::Found(record) => self.judge(now, record),
-            Outcome::Absent | Outcome::Unknown if self.tries >= MOST_TRIES => away(),
+            Outcome::Created => Action::Dispatch,
+            Outcome::Found(record) => self.evaluate(now, record),
+            Outcome::Absent | Outcome::Unknown if self.tries >= MAX_TRIES => store_unavailable(),
             Outcome::Absent => {
                 self.tries += 1;
                 Action::Create
@@ -152,19 +151,19 @@
                 self.tries += 1;
                 Action::Read
             }
-            // A replacement that was lost before may still take effect, but nothing was dispatched
-            // under it, so that `not-run` stays true of this request.
-            Outcome::Down => away(),
+            // An earlier lost replacement may still take effect, but nothing was dispatched under it,
+            // so that the verdict `not-run` holds.
+            Outcome::Down => store_unavailable(),
         }
     }
 
-    /// Decides by the record that is there.
+    /// Decides by the existing record.
     ///
-    /// Ours is known by the nonce: the first write took effect and its answer was lost. Sending the
-    /// caller away would leave the key claimed with nothing behind it.
-    fn judge(&mut self, now: u64, record: Record) -> Action {
+    /// A record with the nonce of this claim is from a write whose answer was lost. Refusing the
+    /// request then would leave the key claimed without a call.
+    fn evaluate(&mut self, now: u64, record: Record) -> Action {
         if *record.nonce == *self.nonce {
-            return Action::Go;
+            return Action::Dispatch;
         }
         if *record.fingerprint != *self.fingerprint {
             let detail = "this idempotency key was used for a different request";
@@ -176,7 +175,7 @@
                 let detail = "the first request with this key ran; its answer is not kept";
                 refuse(Refusal::not_run(Reason::Duplicate, detail).verdict(Verdict::Ran))
             }
-            Progress::Held if now.saturating_sub(record.at) < TAKE_OVER_AFTER.0 => {
+            Progress::Held if now.saturating_sub(record.at) < MIN_TAKEOVER_AGE.0 => {
                 self.in_progress()
             }
             Progress::Held if self.replacing => self.in_progress(),
@@ -192,10 +191,10 @@
         refuse(refusal)
     }
 
-    /// Takes what the sidecar's ledger says of the call under somebody else's claim.
+    /// Handles the sidecar's verdict on the call under the claim of another request.
     ///
-    /// Only a call that is closed for good may be claimed anew; anything else is passed on as the
-    /// verdict that it is.
+    /// The claim is replaced only if that call has not run and never will; any other verdict goes to
+    /// the caller.
     pub fn settled(&mut self, record: Record, verdict: Verdict) -> Action {
         if verdict == Verdict::NotRun {
             self.replacing = true;
@@ -206,7 +205,7 @@
     }
 }
 
-fn away() -> Action {
+fn store_unavailable() -> Action {
     let detail = "the key-value service does not answer, and this request needs a claim";
     refuse(Refusal::not_run(Reason::NoClaim, detail).retry_after(RETRY_AFTER))
 }
--- a/crates/entry/src/api/claimed.rs
+++ b/crates/entry/src/api/claimed.rs
@@ -210,10 +210,10 @@
                 action = claim.settled(found, Verdict::NotRun);
                 continue;
             }
-            Action::Go => return Ok(None),
+            Action::Dispatch => return Ok(None),
             Action::Replay(answer) => return Ok(Some(replay(answer))),
             Action::Refuse(refusal) => return Err((*refusal).clone()),
         };
-        action = claim.on(clock::unix_millis(), outcome);
+        action = claim.handle(clock::unix_millis(), outcome);
     }
 }
