--- a/crates/core/src/ledger/limits.rs
+++ b/crates/core/src/ledger/limits.rs
@@ -1,33 +1,33 @@
-//! What a ledger allows.
+//! Limits of a ledger.
 
 use crate::time::Span;
 
-/// What the ledger allows.
+/// The limits of a ledger.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// How many requests it takes at a time.
+    /// The maximum number of concurrent requests.
     pub slots: usize,
-    /// The longest run that the engine is given, in positions.
-    pub longest_run: usize,
-    /// How long an entry may be silent before its requests are freed.
+    /// The maximum length of an engine run, in positions.
+    pub max_run_length: usize,
+    /// How long after the last renewal the requests of an entry are freed.
     pub lease: Span,
-    /// How long a request may stand still before it is freed and reported lost.
+    /// How long a request may be inactive before it is freed and reported lost.
     ///
-    /// A release can be lost. The entry of a request that goes on touches every stage at least once
-    /// in its stall time (3 s), so that five times as long without a touch means that nobody waits.
-    pub idle: Span,
-    /// How long a released request is remembered.
-    pub remember: Span,
+    /// Frees requests whose release was lost. The entry of an active request contacts every stage at
+    /// least once per stall time (3 s).
+    pub idle_timeout: Span,
+    /// How long a released request is kept, so that late copies of its messages are refused.
+    pub retention: Span,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             slots: 64,
-            longest_run: 64,
+            max_run_length: 64,
             lease: Span(10_000),
-            idle: Span(15_000),
-            remember: Span(60_000),
+            idle_timeout: Span(15_000),
+            retention: Span(60_000),
         }
     }
 }
--- a/crates/core/src/ledger/message.rs
+++ b/crates/core/src/ledger/message.rs
@@ -1,4 +1,4 @@
-//! What goes into the ledger and what comes out.
+//! Inputs and actions of the ledger.
 
 use std::sync::Arc;
 
@@ -11,55 +11,54 @@
 use crate::request::Request;
 
 numbers! {
-    /// The number of one engine run at one sidecar.
+    /// Numbers the engine runs at a sidecar.
     ///
-    /// A run that was started before a request was freed may end after the request is there again;
-    /// without the number its outputs would be booked twice.
+    /// A run may end after its request was freed and opened again. The number keeps its outputs from
+    /// being recorded for the new run.
     Run;
 }
 
-/// Puts a request on a stage, or moves a known request to a new epoch.
+/// Opens a request at a stage, or moves an open request to a new epoch.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Open {
-    /// Which request.
+    /// The request.
     pub request: Request,
-    /// Its epoch; an older one than the stage knows is refused.
+    /// Its epoch; refused if the stage knows a newer one.
     pub epoch: Epoch,
-    /// All stages.
+    /// The route through all stages.
     pub route: Arc<Route>,
-    /// This stage's place in the route.
+    /// The index of this stage in the route.
     pub index: usize,
-    /// The position from which the successor lacks outputs; `None` while the entry still asks.
+    /// The first position whose output the successor lacks; `None` until all stages have answered.
     pub downstream: Option<Position>,
-    /// Positions before this one were run on these layers before: by a stage that is gone.
+    /// A lost stage ran these layers at the positions before this one.
     pub rebuild_until: Position,
-    /// The sequence's length at which the request ends.
+    /// The number of positions to run.
     pub limit: Position,
 }
 
 /// The answer to [`Open`].
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Opened {
-    /// The position up to which this stage has run.
+    /// The number of positions that this stage has run.
     pub count: Position,
-    /// The position up to which it has had inputs: its predecessors have run these, even where it
-    /// has not itself.
+    /// The position up to which this stage has received inputs, and so its predecessors have run.
     pub reached: Position,
 }
 
-/// Why a stage did not take a request. Nothing of it was run under the refused epoch.
+/// Why a stage refused a request; it ran nothing under the refused epoch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Refused {
     /// A newer epoch is known, or the request has been released.
     #[error("the epoch is older than {0}")]
     Stale(Epoch),
-    /// The backend server is leaving.
+    /// The backend server is draining.
     #[error("the backend server is leaving")]
     Draining,
-    /// Every slot is taken.
+    /// All slots are in use.
     #[error("no slot is free")]
     Busy,
-    /// The route does not fit this stage.
+    /// The route does not match this stage.
     #[error("the route does not fit this stage")]
     Misrouted,
 }
@@ -67,80 +66,80 @@
 /// Tells a stage from which position its successor lacks outputs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Resume {
-    /// Which request.
+    /// The request.
     pub request: Request,
-    /// Under which epoch.
+    /// Its epoch.
     pub epoch: Epoch,
-    /// Outputs from here on are sent.
+    /// The first output to send.
     pub downstream: Position,
-    /// As in [`Open::rebuild_until`], now that every stage has answered.
+    /// See [`Open::rebuild_until`].
     pub rebuild_until: Position,
 }
 
 /// Inputs of consecutive positions.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Frame {
-    /// Which request.
+    /// The request.
     pub request: Request,
-    /// Under which epoch.
+    /// Its epoch.
     pub epoch: Epoch,
     /// The position of the first value.
     pub first: Position,
-    /// Tokens for the first stage, activations for the others.
+    /// Tokens for the first stage, activations for others.
     pub values: Vec<u64>,
 }
 
 /// Tokens for the entry.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Tokens {
-    /// Which request.
+    /// The request.
     pub request: Request,
-    /// Under which epoch they were run.
+    /// The epoch of their run.
     pub epoch: Epoch,
-    /// The position whose run gave the first token.
+    /// The position whose run produced the first token.
     pub first: Position,
     /// The tokens.
     pub values: Vec<u64>,
 }
 
-/// Word to the entry that a stage cannot go on.
+/// Reports to the entry that a stage cannot continue a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Lost {
-    /// Which request.
+    /// The request.
     pub request: Request,
-    /// Under which epoch.
+    /// Its epoch.
     pub epoch: Epoch,
-    /// The stage that is gone.
+    /// The server of the lost stage.
     pub server: Server,
 }
 
-/// What became of a frame.
+/// The result of receiving a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Received {
-    /// Taken, or a repeat of what was taken before.
+    /// Accepted, or a duplicate.
     Accepted,
-    /// Of an older epoch.
+    /// Its epoch is outdated.
     Stale,
-    /// Of a request or epoch that this stage does not know: it has lost its memory.
+    /// The request or epoch is unknown; this stage may have restarted.
     Unknown,
 }
 
-/// What the sidecar is to do.
+/// A request to the sidecar.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Have the engine run layers for consecutive positions.
+    /// Run layers on the engine at consecutive positions.
     Run {
-        /// The number to report back with.
+        /// The number with which to report the end of the run.
         run: Run,
-        /// Which request.
+        /// The request.
         request: Request,
-        /// Which layers.
+        /// The layers.
         layers: Range,
         /// The position of the first input.
         first: Position,
         /// The inputs.
         inputs: Vec<u64>,
-        /// Whether the cache is rebuilt: these positions ran before on a stage that is gone.
+        /// Whether this rebuilds the cache of positions that a lost stage has run.
         rebuild: bool,
     },
     /// Send a frame to the successor.
@@ -159,16 +158,16 @@
         /// The tokens.
         tokens: Tokens,
     },
-    /// Tell the entry that a stage is gone.
+    /// Report a lost stage to the entry.
     Report {
         /// The entry's address.
         to: Arc<str>,
-        /// Which.
+        /// The report.
         lost: Lost,
     },
-    /// Have the engine free a request's cache, and report it with `freed`.
+    /// Free the cache of a request on the engine and report it with `freed`.
     Free {
-        /// Which request.
+        /// The request.
         request: Request,
     },
 }
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -1,16 +1,15 @@
 //! The step ledger: what one stage has run of each request.
 //!
-//! A stage is told the route under an epoch ([`Open`]), takes inputs by position ([`Frame`]), runs
-//! each position's layers once, keeps every output, and sends outputs on from the position that its
-//! successor lacks. Recovery uses nothing else: a new epoch tells each stage from where its
-//! successor lacks outputs, whoever the successor now is.
+//! A stage receives the route of an epoch ([`Open`]) and inputs by position ([`Frame`]). It runs its
+//! layers once at each position, keeps all outputs and sends them on from the first position that
+//! its successor lacks. For recovery, a new epoch tells each stage which outputs its successor, old
+//! or new, lacks.
 
-mod book;
 mod limits;
 mod message;
 mod slot;
+mod stage;
 
-pub use book::Ledger;
 pub use limits::Limits;
 pub use message::Action;
 pub use message::Frame;
@@ -22,3 +21,4 @@
 pub use message::Resume;
 pub use message::Run;
 pub use message::Tokens;
+pub use stage::Ledger;
--- a/crates/core/src/ledger/slot.rs
+++ b/crates/core/src/ledger/slot.rs
@@ -1,4 +1,4 @@
-//! One request at one stage.
+//! The state of one request at one stage.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::request::Position;
 use crate::time::Instant;
 
-/// The inputs that an engine is running now.
+/// The run in progress on the engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Running {
     pub(super) run: Run,
@@ -23,16 +23,16 @@
 #[derive(Clone, Debug)]
 pub(super) struct Slot {
     pub(super) open: Open,
-    /// Outputs by position: `outputs.len()` positions have run.
+    /// The outputs of the positions that have run.
     pub(super) outputs: Vec<u64>,
-    /// Inputs that wait for their turn.
+    /// Inputs that have not run.
     pub(super) pending: BTreeMap<Position, u64>,
     pub(super) running: Option<Running>,
-    /// The next output to send; `None` until the entry says from where.
+    /// The next output to send; `None` until the entry sends it.
     pub(super) sent: Option<Position>,
-    /// The position up to which inputs have come.
+    /// The position up to which inputs were received.
     pub(super) reached: Position,
-    pub(super) heard: Instant,
+    pub(super) last_activity: Instant,
 }
 
 impl Slot {
@@ -44,21 +44,20 @@
             pending: BTreeMap::new(),
             running: None,
             reached: Position(0),
-            heard: now,
+            last_activity: now,
         }
     }
 
-    /// Returns the position up to which this stage has run.
+    /// Returns the number of positions that this stage has run.
     pub(super) fn count(&self) -> Position {
         Position(self.outputs.len() as u64)
     }
 
-    /// Moves to a newer epoch: what waited under the older one is forgotten.
+    /// Moves to a newer epoch and drops the pending inputs.
     ///
-    /// The predecessor may have been replaced, and its successor sends these inputs again from
-    /// `count`. Work that an engine has begun is not forgotten: its input came from tokens that
-    /// the entry gave out, which no epoch changes.
-    pub(super) fn move_to(&mut self, open: Open) {
+    /// The predecessor, which may be a replacement, sends them again from `count`. A run in progress
+    /// stays valid: it is based on tokens that the entry has emitted, which no epoch changes.
+    pub(super) fn change_epoch(&mut self, open: Open) {
         self.pending.clear();
         self.sent = open.downstream;
         self.open = open;
@@ -69,11 +68,11 @@
         self.open.rebuild_until = resume.rebuild_until;
     }
 
-    /// Takes inputs; a position that has run, is running or waits already changes nothing.
+    /// Adds inputs; ignores positions that have run, are running or are pending.
     ///
-    /// Links send a frame again after a silent connection, so repeats are ordinary. Running one
-    /// would extend the engine's cache twice at one position.
-    pub(super) fn take(&mut self, frame: &Frame) {
+    /// Links retransmit frames after a connection was silent. Running a duplicate would extend the
+    /// engine's cache twice at the same position.
+    pub(super) fn receive(&mut self, frame: &Frame) {
         let busy_until = match self.running {
             Some(running) => running.first.plus(running.count),
             None => self.count(),
@@ -88,18 +87,18 @@
         }
     }
 
-    /// Starts the engine on the next inputs without a gap.
+    /// Starts an engine run on the next consecutive inputs.
     ///
-    /// Under a new epoch it waits for the entry's word on what is a rebuild: inputs that overtake
-    /// the word would be run as if for the first time.
-    pub(super) fn start(&mut self, run: Run, longest: usize) -> Option<Action> {
+    /// Under a new epoch this waits for [`Resume`], which says which positions are rebuilt. Inputs
+    /// that arrive before it would otherwise run as if for the first time.
+    pub(super) fn start_run(&mut self, run: Run, max_length: usize) -> Option<Action> {
         if self.running.is_some() || self.sent.is_none() {
             return None;
         }
         let first = self.count();
         let rebuild = first < self.open.rebuild_until;
         let mut inputs = Vec::new();
-        while inputs.len() < longest {
+        while inputs.len() < max_length {
             let position = first.plus(inputs.len());
             if (position < self.open.rebuild_until) != rebuild {
                 break;
@@ -127,14 +126,14 @@
         })
     }
 
-    /// Books the outputs of the run in progress.
-    pub(super) fn finish(&mut self, outputs: &[u64]) {
+    /// Records the outputs of the run in progress.
+    pub(super) fn finish_run(&mut self, outputs: &[u64]) {
         self.running = None;
         self.outputs.extend_from_slice(outputs);
     }
 
-    /// Sends what the successor lacks and this stage has.
-    pub(super) fn send(&mut self) -> Option<Action> {
+    /// Sends the outputs that the successor lacks.
+    pub(super) fn send_outputs(&mut self) -> Option<Action> {
         let sent = self.sent?;
         if sent >= self.count() {
             return None;
--- a/crates/core/src/ledger/book.rs
+++ b/crates/core/src/ledger/stage.rs
@@ -1,4 +1,4 @@
-//! The ledger of all requests at one stage.
+//! All requests at one stage.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 use crate::time::Instant;
 use crate::time::Span;
 
-/// The ledger.
+/// The step ledger of one stage.
 ///
 /// # Examples
 ///
@@ -35,11 +35,11 @@
     server: Server,
     limits: Limits,
     slots: BTreeMap<Request, Slot>,
-    /// Released requests: up to which epoch, and when.
+    /// Released requests, with the last released epoch and the time.
     released: BTreeMap<Request, (Epoch, Instant)>,
     leases: BTreeMap<BootId, Instant>,
-    /// Requests that are gone and whose cache is not freed yet; with the run that still goes on.
-    leaving: BTreeMap<Request, Option<Run>>,
+    /// Removed requests whose cache is not freed yet, with the run in progress.
+    freeing: BTreeMap<Request, Option<Run>>,
     last_run: Run,
     draining: bool,
 }
@@ -54,41 +54,41 @@
             slots: BTreeMap::new(),
             released: BTreeMap::new(),
             leases: BTreeMap::new(),
-            leaving: BTreeMap::new(),
+            freeing: BTreeMap::new(),
             last_run: Run(0),
             draining: false,
         }
     }
 
-    /// Returns how many requests are held.
+    /// Returns the number of open requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Tells whether no request is held.
+    /// Returns whether no request is open.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Refuses new requests from now on; those that are held go on.
+    /// Refuses new requests from now on; open requests continue.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Sets how many requests are taken at a time.
+    /// Sets the maximum number of concurrent requests.
     pub fn set_slots(&mut self, slots: usize) {
         self.limits.slots = slots;
     }
 
-    /// Takes a request, or moves it to a newer epoch, and tells how far this stage has run.
+    /// Opens a request or moves it to a newer epoch, and returns how far this stage has run.
     ///
-    /// A repeat of the same epoch is answered as the first was.
+    /// A duplicate of the same epoch is accepted again.
     ///
     /// # Errors
     ///
-    /// See [`Refused`]; nothing has changed then.
+    /// See [`Refused`]; the ledger is unchanged.
     pub fn open(
         &mut self,
         now: Instant,
@@ -110,16 +110,16 @@
             if layers != held {
                 return Err(Refused::Misrouted);
             }
-            slot.heard = now;
+            slot.last_activity = now;
             if open.epoch > slot.open.epoch {
-                slot.move_to(open);
+                slot.change_epoch(open);
             }
         } else {
             if self.draining {
                 return Err(Refused::Draining);
             }
-            if self.leaving.contains_key(&request) {
-                // The engine still has the cache of the earlier stay: positions would not fit it.
+            if self.freeing.contains_key(&request) {
+                // The engine still has the old cache, whose positions would not match.
                 return Err(Refused::Busy);
             }
             if self.slots.len() >= self.limits.slots {
@@ -137,10 +137,10 @@
         Ok(opened)
     }
 
-    /// Refuses to open what was released.
+    /// Refuses to open released requests.
     ///
-    /// The release and a late copy of the open travel on different connections. Without the memory
-    /// the late copy would occupy a slot until the entry dies.
+    /// A duplicate of an open may arrive after the release, on another connection. It would occupy a
+    /// slot until the entry dies.
     fn check_released(&self, open: &Open) -> Result<(), Refused> {
         match self.released.get(&open.request) {
             Some((epoch, _)) if open.epoch <= *epoch => Err(Refused::Stale(*epoch)),
@@ -148,15 +148,15 @@
         }
     }
 
-    /// Starts sending to the successor under an epoch.
+    /// Starts sending outputs to the successor.
     pub fn resume(&mut self, now: Instant, resume: Resume, actions: &mut Vec<Action>) -> Received {
         let received = self.classify(resume.request, resume.epoch);
         if received != Received::Accepted {
             return received;
         }
         if let Some(slot) = self.slots.get_mut(&resume.request) {
-            slot.heard = now;
-            // A repeat of the word must not send everything again.
+            slot.last_activity = now;
+            // A duplicate must not send all outputs again.
             if slot.sent.is_none() {
                 slot.resume(resume);
             }
@@ -165,15 +165,15 @@
         received
     }
 
-    /// Takes inputs.
+    /// Receives inputs.
     pub fn frame(&mut self, now: Instant, frame: &Frame, actions: &mut Vec<Action>) -> Received {
         let received = self.classify(frame.request, frame.epoch);
         if received != Received::Accepted {
             return received;
         }
         if let Some(slot) = self.slots.get_mut(&frame.request) {
-            slot.heard = now;
-            slot.take(frame);
+            slot.last_activity = now;
+            slot.receive(frame);
         }
         self.advance(frame.request, actions);
         received
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Books what the engine has run.
+    /// Records the outputs of an engine run.
     pub fn ran(
         &mut self,
         now: Instant,
@@ -201,7 +201,7 @@
         outputs: &[u64],
         actions: &mut Vec<Action>,
     ) {
-        self.run_ended(request, run, actions);
+        self.free_after_run(request, run, actions);
         let Some(slot) = self.slots.get_mut(&request) else {
             return;
         };
@@ -209,28 +209,28 @@
             return;
         };
         if outputs.len() != running.count {
-            self.end_run(request);
-            self.lose(request, actions);
+            self.clear_run(request);
+            self.drop_lost(request, actions);
             return;
         }
-        slot.heard = now;
-        slot.finish(outputs);
+        slot.last_activity = now;
+        slot.finish_run(outputs);
         self.advance(request, actions);
     }
 
-    /// Gives up a request whose engine failed: the engine's cache may be at any position.
+    /// Drops a request after a failed engine run, which leaves its cache at an unknown position.
     pub fn failed(&mut self, request: Request, run: Run, actions: &mut Vec<Action>) {
-        self.run_ended(request, run, actions);
+        self.free_after_run(request, run, actions);
         let Some(slot) = self.slots.get(&request) else {
             return;
         };
         if slot.running.is_some_and(|running| running.run == run) {
-            self.end_run(request);
-            self.lose(request, actions);
+            self.clear_run(request);
+            self.drop_lost(request, actions);
         }
     }
 
-    /// Tells the entry that a successor does not know its request, or cannot be reached.
+    /// Reports to the entry that a successor does not know its request or is unreachable.
     pub fn successor_lost(
         &mut self,
         request: Request,
@@ -254,7 +254,8 @@
         });
     }
 
-    fn lose(&mut self, request: Request, actions: &mut Vec<Action>) {
+    /// Drops a request and reports it lost to its entry.
+    fn drop_lost(&mut self, request: Request, actions: &mut Vec<Action>) {
         let Some(slot) = self.slots.get(&request) else {
             return;
         };
@@ -269,40 +270,40 @@
         self.remove(request, actions);
     }
 
-    /// Takes a request out, and has its cache freed when no run uses it.
+    /// Removes a request and frees its cache once no run uses it.
     ///
-    /// A free that overtakes a run has the engine begin a new cache in the middle of a sequence, and
-    /// nobody frees that one.
+    /// If the engine freed the cache before the run, the run would start a new cache in the middle of
+    /// a sequence, which is never freed.
     fn remove(&mut self, request: Request, actions: &mut Vec<Action>) {
         let Some(slot) = self.slots.remove(&request) else {
             return;
         };
         let running = slot.running.map(|running| running.run);
-        self.leaving.insert(request, running);
+        self.freeing.insert(request, running);
         if running.is_none() {
             actions.push(Action::Free { request });
         }
     }
 
-    fn end_run(&mut self, request: Request) {
+    fn clear_run(&mut self, request: Request) {
         if let Some(slot) = self.slots.get_mut(&request) {
             slot.running = None;
         }
     }
 
-    fn run_ended(&mut self, request: Request, run: Run, actions: &mut Vec<Action>) {
-        if self.leaving.get(&request) == Some(&Some(run)) {
-            self.leaving.insert(request, None);
+    fn free_after_run(&mut self, request: Request, run: Run, actions: &mut Vec<Action>) {
+        if self.freeing.get(&request) == Some(&Some(run)) {
+            self.freeing.insert(request, None);
             actions.push(Action::Free { request });
         }
     }
 
-    /// Books that the engine has freed a request's cache, or cannot be asked to.
+    /// Records that the engine has freed the cache of a request, or is unreachable.
     pub fn freed(&mut self, request: Request) {
-        self.leaving.remove(&request);
+        self.freeing.remove(&request);
     }
 
-    /// Frees a request up to an epoch, for good.
+    /// Frees a request permanently, for all epochs up to the given one.
     pub fn release(
         &mut self,
         now: Instant,
@@ -318,55 +319,54 @@
         self.remove(request, actions);
     }
 
-    /// Takes or renews an entry's lease on its requests.
+    /// Starts or renews the lease of an entry on its requests.
     pub fn renew(&mut self, now: Instant, entry: BootId) {
         self.leases.insert(entry, now);
     }
 
-    /// Returns how many entries hold a lease.
+    /// Returns the number of entries that hold a lease.
     #[must_use]
     pub fn entries(&self) -> usize {
         self.leases.len()
     }
 
-    /// Frees what nobody asks for any more.
+    /// Frees requests of dead entries and inactive requests.
     ///
-    /// An entry that dies releases nothing: without the lease its requests would hold cache memory
-    /// until the backend server restarts. A live entry renews with every heartbeat, so that a
-    /// lapsed lease means that nobody will read the answer from here.
+    /// An entry that dies releases nothing; without leases its requests would hold cache memory until
+    /// the backend server restarts. Live entries renew their lease with every heartbeat.
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let limits = self.limits;
-        let lapsed = |since: Instant, span: Span| now.since(since) > span;
+        let has_elapsed = |since: Instant, span: Span| now.since(since) > span;
         self.released
-            .retain(|_, (_, at)| !lapsed(*at, limits.remember));
+            .retain(|_, (_, at)| !has_elapsed(*at, limits.retention));
         let orphans = self.slots.iter().filter(|(request, _)| {
             let renewed = self.leases.get(&request.entry);
-            renewed.is_none_or(|renewed| lapsed(*renewed, limits.lease))
+            renewed.is_none_or(|renewed| has_elapsed(*renewed, limits.lease))
         });
         let orphans: Vec<Request> = orphans.map(|(request, _)| *request).collect();
         for request in orphans {
             self.remove(request, actions);
         }
         self.leases
-            .retain(|_, renewed| !lapsed(*renewed, limits.lease));
-        let still = self
+            .retain(|_, renewed| !has_elapsed(*renewed, limits.lease));
+        let inactive = self
             .slots
             .iter()
-            .filter(|(_, slot)| lapsed(slot.heard, limits.idle));
-        let still: Vec<Request> = still.map(|(request, _)| *request).collect();
-        for request in still {
-            self.lose(request, actions);
+            .filter(|(_, slot)| has_elapsed(slot.last_activity, limits.idle_timeout));
+        let inactive: Vec<Request> = inactive.map(|(request, _)| *request).collect();
+        for request in inactive {
+            self.drop_lost(request, actions);
         }
     }
 
-    /// Sends what can be sent and runs what can be run.
+    /// Sends available outputs and starts the next run.
     fn advance(&mut self, request: Request, actions: &mut Vec<Action>) {
         let Some(slot) = self.slots.get_mut(&request) else {
             return;
         };
-        actions.extend(slot.send());
+        actions.extend(slot.send_outputs());
         let run = self.last_run.next();
-        if let Some(action) = slot.start(run, self.limits.longest_run) {
+        if let Some(action) = slot.start_run(run, self.limits.max_run_length) {
             self.last_run = run;
             actions.push(action);
         }
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -180,7 +180,7 @@
 
 fn ledger(server: &Server) -> Ledger {
     let limits = Limits {
-        longest_run: 2,
+        max_run_length: 2,
         ..Limits::default()
     };
     Ledger::new(server.clone(), limits)
