--- a/crates/core/src/session/call.rs
+++ b/crates/core/src/session/call.rs
@@ -24,20 +24,20 @@
 use crate::time::Instant;
 use crate::verdict::Verdict;
 
-/// Where a session stands.
+/// The phase of a session.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Phase {
-    /// Waits for a route since the given time; asked for it last at the second.
+    /// Has waited for a route since one time and last asked for it at the other.
     Choosing { since: Instant, asked: Instant },
-    /// Waits for the stages' answers.
+    /// Waits for the answers of the stages.
     Opening { answers: Vec<Option<Opened>> },
-    /// Tokens are on their way.
+    /// Waits for tokens.
     Running,
-    /// The caller has had the last word.
+    /// The request has ended for the caller.
     Done,
 }
 
-/// One model request.
+/// The state machine of a model request.
 ///
 /// # Examples
 ///
@@ -66,9 +66,9 @@
     route: Arc<Route>,
     phase: Phase,
     excluded: BTreeSet<Server>,
-    /// Whether any stage has had an input.
+    /// Whether any input was sent to a stage.
     fed: bool,
-    /// When the last token or change of phase came.
+    /// When the last token arrived or the phase last changed.
     progress: Instant,
 }
 
@@ -110,26 +110,26 @@
         &self.route
     }
 
-    /// Returns the tokens given out so far.
+    /// Returns the tokens emitted so far.
     #[must_use]
     pub fn tokens(&self) -> &[u64] {
         &self.answer.tokens
     }
 
-    /// Tells whether the caller has had the last word.
+    /// Returns whether the request has ended for the caller.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.phase == Phase::Done
     }
 
-    /// Takes the route that was asked for; `None` when there is none.
+    /// Handles a chosen route; `None` if there is none.
     pub fn routed(&mut self, now: Instant, route: Option<Arc<Route>>, actions: &mut Vec<Action>) {
         let Phase::Choosing { since, .. } = self.phase else {
             return;
         };
         let Some(route) = route else {
-            let out_of_patience = now.since(since) >= self.settings.patience;
-            if !self.fed || out_of_patience {
+            let timed_out = now.since(since) >= self.settings.patience;
+            if !self.fed || timed_out {
                 self.fail(
                     Reason::NoPath,
                     "no path through live backend servers",
@@ -138,19 +138,19 @@
             }
             return;
         };
-        self.release_leavers(&route, actions);
+        self.release_removed(&route, actions);
         self.route = route;
         self.open(now, actions);
     }
 
-    /// Frees the request at stages that the new route leaves out.
-    fn release_leavers(&self, route: &Route, actions: &mut Vec<Action>) {
-        let leavers = self
+    /// Frees the request at stages that are not on the new route.
+    fn release_removed(&self, route: &Route, actions: &mut Vec<Action>) {
+        let removed = self
             .route
             .stages
             .iter()
             .filter(|stage| !route.stages.contains(stage));
-        actions.extend(leavers.map(|stage| self.release(stage)));
+        actions.extend(removed.map(|stage| self.release(stage)));
     }
 
     fn release(&self, stage: &Stage) -> Action {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Begins a new epoch on the current route.
+    /// Opens a new epoch on the current route.
     fn open(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.epoch.0 >= self.settings.max_epochs {
             self.fail(Reason::BackendFailed, "the path failed too often", actions);
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Returns from where a stage sends when nothing has run yet; saves the second round trip.
+    /// Returns from which position a stage sends if nothing has run; this saves a round trip.
     fn first_downstream(&self, last: bool) -> Option<Position> {
         if self.fed {
             return None;
@@ -203,7 +203,7 @@
         })
     }
 
-    /// Books a stage's answer to an open.
+    /// Handles the answer of a stage to an open.
     pub fn opened(
         &mut self,
         now: Instant,
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Tells each stage from where its successor lacks outputs, and feeds the first.
+    /// Tells each stage which outputs its successor lacks, and sends the inputs to the first.
     fn run(&mut self, now: Instant, answers: &[Opened], actions: &mut Vec<Action>) {
         self.phase = Phase::Running;
         self.progress = now;
@@ -239,14 +239,16 @@
         self.feed(answers[0].count, actions);
     }
 
-    /// A replacement rebuilds every position that some later stage has had inputs of, or whose token
-    /// is out: its predecessor in these layers has run them.
+    /// Tells each stage from which position to send, and which positions are a rebuild.
+    ///
+    /// A replacement rebuilds the positions whose inputs a later stage has received or whose token was
+    /// emitted, since the stage that it replaces has run them.
     fn resume(&self, answers: &[Opened], actions: &mut Vec<Action>) {
         for (index, stage) in self.route.stages.iter().enumerate() {
             let after = &answers[index + 1..];
             let downstream = after.first().map_or(self.answer.next(), |next| next.count);
             let reached = after.iter().map(|opened| opened.reached);
-            let rebuild_until = reached.chain([self.answer.proved()]).max();
+            let rebuild_until = reached.chain([self.answer.min_run()]).max();
             let resume = Resume {
                 request: self.answer.spec.request,
                 epoch: self.epoch,
@@ -260,7 +262,7 @@
         }
     }
 
-    /// Sends the first stage its inputs from a position on.
+    /// Sends the inputs from a position onwards to the first stage.
     fn feed(&self, from: Position, actions: &mut Vec<Action>) {
         let values = self.answer.inputs(from);
         if values.is_empty() {
@@ -277,41 +279,38 @@
         });
     }
 
-    /// Takes tokens from the last stage.
+    /// Handles tokens from the last stage.
     ///
-    /// An older epoch's are refused even though their value may be right: a sampler need not give
-    /// the same token twice, and the successor may have given out another one for this position.
-    pub fn tokens_came(&mut self, now: Instant, tokens: &Tokens, actions: &mut Vec<Action>) {
+    /// Tokens of an older epoch are ignored: sampling need not repeat, so that the current epoch may
+    /// have another token for the same position.
+    pub fn tokens_received(&mut self, now: Instant, tokens: &Tokens, actions: &mut Vec<Action>) {
         if tokens.epoch != self.epoch || self.phase != Phase::Running {
             return;
         }
         let first = self.answer.tokens.len();
-        let fresh = self.answer.take(tokens);
-        if fresh.is_empty() {
+        let new = self.answer.add(tokens);
+        if new.is_empty() {
             return;
         }
         self.progress = now;
-        actions.push(Action::Emit {
-            first,
-            tokens: fresh,
-        });
-        if self.answer.is_whole() {
+        actions.push(Action::Emit { first, tokens: new });
+        if self.answer.is_complete() {
             self.close(actions);
             actions.push(Action::Finish);
             return;
         }
-        let given_before = self.answer.spec.prompt.len() + first;
-        self.feed(Position(given_before as u64), actions);
+        let first_new = self.answer.spec.prompt.len() + first;
+        self.feed(Position(first_new as u64), actions);
     }
 
-    /// Takes word that a stage is gone under an epoch, or did not open.
+    /// Handles a report that a stage was lost in an epoch or did not open the request.
     pub fn lost(&mut self, now: Instant, lost: &Lost, actions: &mut Vec<Action>) {
         if lost.epoch == self.epoch {
             self.down(now, &lost.server, actions);
         }
     }
 
-    /// Takes word that a backend server is gone.
+    /// Handles the failure of a backend server.
     pub fn down(&mut self, now: Instant, server: &Server, actions: &mut Vec<Action>) {
         if self.route.index_of(server).is_none() {
             return;
@@ -330,7 +329,7 @@
         });
     }
 
-    /// Lets time pass.
+    /// Handles timeouts.
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         match self.phase {
             Phase::Choosing { since, asked } => {
@@ -338,7 +337,7 @@
                     return;
                 }
                 self.phase = Phase::Choosing { since, asked: now };
-                // A backend server that failed may be back: nothing else may hold these layers.
+                // A failed server may have recovered and be the only one that holds its layers.
                 self.excluded.clear();
                 let excluded = Vec::new();
                 actions.push(Action::Reroute { excluded });
@@ -352,7 +351,7 @@
         }
     }
 
-    /// Takes word that the caller is gone.
+    /// Handles a disconnect of the caller.
     pub fn cancel(&mut self, actions: &mut Vec<Action>) {
         if self.phase != Phase::Done {
             self.close(actions);
--- a/crates/core/src/session/message.rs
+++ b/crates/core/src/session/message.rs
@@ -1,4 +1,4 @@
-//! What a session is told to do, and what it asks for.
+//! Inputs and actions of a session.
 
 use std::sync::Arc;
 
@@ -12,29 +12,29 @@
 use crate::request::Request;
 use crate::time::Span;
 
-/// What the caller wants.
+/// The request of the caller.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Spec {
     /// The request's identifier.
     pub request: Request,
     /// The prompt's tokens; at least one.
     pub prompt: Vec<u64>,
-    /// How many tokens to generate; at least one.
+    /// The number of tokens to generate; at least one.
     pub max_tokens: usize,
 }
 
-/// How a session bears with trouble.
+/// Settings of the recovery of sessions.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// Without a token for this long, the stages are asked where they are.
+    /// How long to wait for a token before a new epoch is opened.
     pub stall: Span,
-    /// How long a begun answer looks for a new path before it fails.
+    /// How long a started answer waits for a new path before it fails.
     pub patience: Span,
-    /// How long to wait before the next look.
+    /// How long to wait between attempts to find a new path.
     pub retry_interval: Span,
-    /// The most epochs that one request may use.
+    /// The maximum number of epochs of a request.
     pub max_epochs: u64,
-    /// What a caller is told to wait when there is no path.
+    /// The retry delay that failures report to the caller.
     pub retry_after: Span,
 }
 
@@ -50,53 +50,53 @@
     }
 }
 
-/// What the entry is to do.
+/// A request to the entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Open the request at a stage and report the answer.
+    /// Open the request at a stage and report the answer with `opened`.
     Open {
         /// The stage.
         stage: Stage,
-        /// What to send.
+        /// The message.
         open: Open,
     },
-    /// Tell a stage from where to send.
+    /// Tell a stage from which position to send outputs.
     Resume {
         /// The stage.
         stage: Stage,
-        /// What to send.
+        /// The message.
         resume: Resume,
     },
     /// Send inputs to the first stage.
     Feed {
         /// The stage.
         stage: Stage,
-        /// What to send.
+        /// The message.
         frame: Frame,
     },
     /// Free the request at a stage.
     Release {
         /// The stage.
         stage: Stage,
-        /// Which request.
+        /// The request.
         request: Request,
-        /// Up to which epoch.
+        /// The last epoch to free.
         epoch: Epoch,
     },
-    /// Find another route and report it with `routed`.
+    /// Find a new route and report it with `routed`.
     Reroute {
-        /// Backend servers that failed this request; an empty list lets all be tried again.
+        /// Backend servers that failed this request; if empty, all may be used again.
         excluded: Vec<Server>,
     },
-    /// Give tokens to the caller; each is given out once, in order.
+    /// Send tokens to the caller; each is emitted once, in order.
     Emit {
         /// The index of the first token in the answer.
         first: usize,
         /// The tokens.
         tokens: Vec<u64>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Finish,
-    /// The answer will not become whole.
+    /// The answer cannot be completed.
     Fail(Arc<Refusal>),
 }
--- a/crates/core/src/session/mod.rs
+++ b/crates/core/src/session/mod.rs
@@ -1,10 +1,9 @@
-//! The session: one model request as its entry sees it, from the first stage opened to the last
-//! token.
+//! Sessions: the state of model requests at their entry.
 //!
-//! The entry is the single author of the epoch and of every token: each token goes back through it
-//! before it becomes an input, so that no stage is ever ahead of what the entry knows. Recovery is
-//! therefore one move, whatever has died: a new route under a new epoch, each stage asked how far
-//! it has run, and each told from where its successor lacks outputs.
+//! Only the entry assigns epochs, and each token passes through it before it becomes an input, so
+//! that no stage is ahead of the entry. Recovery is therefore the same for all failures: the entry
+//! opens a route under a new epoch, asks each stage how far it has run and tells each which outputs
+//! its successor lacks.
 
 mod answer;
 mod call;
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -567,7 +567,7 @@
                     if ignore {
                         tokens.epoch = session.epoch();
                     }
-                    session.tokens_came(now, &tokens, actions);
+                    session.tokens_received(now, &tokens, actions);
                 });
             }
             Message::Lost(lost) => {
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -88,7 +88,7 @@
                 self.session.opened(now, &server, epoch, opened, actions);
             }
             Event::Lost(lost) => self.session.lost(now, &lost, actions),
-            Event::Tokens(tokens) => self.session.tokens_came(now, &tokens, actions),
+            Event::Tokens(tokens) => self.session.tokens_received(now, &tokens, actions),
             Event::Down(server) => self.session.down(now, &server, actions),
         }
     }
