--- a/crates/core/tests/ledger.rs
+++ b/crates/core/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The step ledger by itself.
+//! Tests of the step ledger.
 
 #![allow(
     clippy::unwrap_used,
@@ -67,12 +67,8 @@
     Ledger::new("a".into(), limits)
 }
 
-/// The caller of a later stay sees a right answer, and no cache is left behind.
-///
-/// A stage is frozen while its engine runs a step; its request moves elsewhere and is released. When
-/// the stage wakes, the release is handled before the step has ended. A free that overtook the step
-/// made the engine begin a new cache in mid-sequence; and a request that came back to this stage
-/// would have met the old one. So the free waits for the step, and the request for the free.
+/// Guards against a free that precedes the end of a run, which would leave a cache that is never
+/// freed, and against a reopened request that uses the old cache.
 #[test]
 fn free_waits_for_the_run_and_open_for_the_free() {
     let mut ledger = ledger(4);
@@ -84,19 +80,19 @@
     };
 
     ledger.release(NOW, request(1), Epoch(1), &mut actions);
-    let before_the_run_ended = actions.contains(&free);
-    let back_too_early = ledger.open(NOW, open(1, 2), &mut actions);
+    let freed_during_run = actions.contains(&free);
+    let reopened_during_run = ledger.open(NOW, open(1, 2), &mut actions);
     ledger.ran(NOW, request(1), Run(1), &[6], &mut actions);
-    let after_the_run_ended = actions.contains(&free);
-    let back_before_the_free = ledger.open(NOW, open(1, 2), &mut actions);
+    let freed_after_run = actions.contains(&free);
+    let reopened_before_free = ledger.open(NOW, open(1, 2), &mut actions);
     ledger.freed(request(1));
-    let back = ledger.open(NOW, open(1, 2), &mut actions);
+    let reopened = ledger.open(NOW, open(1, 2), &mut actions);
 
-    assert!(!before_the_run_ended);
-    assert_eq!(back_too_early, Err(Refused::Busy));
-    assert!(after_the_run_ended);
-    assert_eq!(back_before_the_free, Err(Refused::Busy));
-    assert_eq!(back.unwrap().count, Position(0));
+    assert!(!freed_during_run);
+    assert_eq!(reopened_during_run, Err(Refused::Busy));
+    assert!(freed_after_run);
+    assert_eq!(reopened_before_free, Err(Refused::Busy));
+    assert_eq!(reopened.unwrap().count, Position(0));
 }
 
 #[test]
@@ -105,15 +101,15 @@
     let mut actions = Vec::new();
     ledger.open(NOW, open(1, 1), &mut actions).unwrap();
 
-    let over = ledger.open(NOW, open(2, 1), &mut actions);
+    let over_limit = ledger.open(NOW, open(2, 1), &mut actions);
     ledger.drain();
-    let known = ledger.open(NOW, open(1, 2), &mut actions);
+    let reopened = ledger.open(NOW, open(1, 2), &mut actions);
     ledger.release(NOW, request(1), Epoch(2), &mut actions);
     let drained = ledger.open(NOW, open(2, 1), &mut actions);
-    let late_copy = ledger.open(NOW, open(1, 2), &mut actions);
+    let late_duplicate = ledger.open(NOW, open(1, 2), &mut actions);
 
-    assert_eq!(over, Err(Refused::Busy));
-    assert!(known.is_ok());
+    assert_eq!(over_limit, Err(Refused::Busy));
+    assert!(reopened.is_ok());
     assert_eq!(drained, Err(Refused::Draining));
-    assert_eq!(late_copy, Err(Refused::Stale(Epoch(2))));
+    assert_eq!(late_duplicate, Err(Refused::Stale(Epoch(2))));
 }
