--- a/crates/core/tests/calls_matrix.rs
+++ b/crates/core/tests/calls_matrix.rs
@@ -1,5 +1,4 @@
-//! The fault matrix of calls that may run at most once: every fault at every step, singly and in
-//! pairs.
+//! The fault matrix of calls that may run at most once: each fault at each step, and triples.
 
 #![allow(
     clippy::unwrap_used,
@@ -12,8 +11,8 @@
 use std::collections::BTreeMap;
 
 use jujube_core::verdict::Verdict;
+use support::calls::Ending;
 use support::calls::Fault;
-use support::calls::Last;
 use support::calls::Mutation;
 use support::calls::World;
 
@@ -32,67 +31,66 @@
     ]
 }
 
-/// Two entries get the same key at the same instant; the caller comes back much later to a third.
-fn run(strikes: &[(usize, &Fault)], mutation: Mutation) -> (Vec<&'static str>, World) {
+/// Submits the same key to two entries concurrently and, after recovery, to a third.
+fn run(faults_by_step: &[(usize, &Fault)], mutation: Mutation) -> (Vec<&'static str>, World) {
     let mut world = World::new(mutation);
     world.submit(0, 0);
     world.submit(1, 1);
-    let mut struck = Vec::new();
+    let mut faulty_steps = Vec::new();
     let mut done = 0;
-    for (step, fault) in strikes {
+    for (step, fault) in faults_by_step {
         while done < *step && world.step() {
             done += 1;
         }
-        struck.push(world.next_step());
-        world.strike(fault);
+        faulty_steps.push(world.next_step());
+        world.inject(fault);
     }
-    world.settle_down();
-    world.heal();
+    world.run_until_idle();
+    world.recover();
     world.submit(2, 2);
-    world.settle_down();
+    world.run_until_idle();
     world.check();
-    (struck, world)
+    (faulty_steps, world)
 }
 
 fn length() -> usize {
     let (_, world) = run(&[], Mutation::default());
-    assert!(world.broken.is_empty(), "{:?}", world.broken);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
     assert_eq!(world.ran.len(), 1);
-    assert_eq!(world.last[&2], Last::Replay);
+    assert_eq!(world.endings[&2], Ending::Replay);
     world.steps.len() + 4
 }
 
-/// The caller who comes back must get somewhere: an answer, or the truth that it may have run.
+/// Returns whether the retry got neither an answer nor the verdict that the call may have run.
 fn is_stuck(world: &World) -> bool {
-    match &world.last[&2] {
-        Last::Refused(refusal) => refusal.verdict == Verdict::NotRun,
-        Last::EntryGone => true,
-        Last::Answer | Last::Replay => false,
+    match &world.endings[&2] {
+        Ending::Refused(refusal) => refusal.verdict == Verdict::NotRun,
+        Ending::EntryGone => true,
+        Ending::Answer | Ending::Replay => false,
     }
 }
 
-/// The service runs once, whoever asks, however often; and "not run" is true.
-///
-/// The same key comes through two entries at the same instant, one fault strikes between any two
-/// events, and the caller comes back a minute later through a third entry, when all is well again.
-/// Late messages arrive after their sender has given up on them.
+/// Guards against calls that run twice and false `not-run` verdicts, with one fault between any two
+/// events. Delayed messages arrive after their sender has timed out.
 #[test]
 fn every_fault_at_every_step() {
     let mut cells: BTreeMap<(String, &str), usize> = BTreeMap::new();
     for fault in &faults() {
         for step in 0..length() {
-            let (struck, world) = run(&[(step, fault)], Mutation::default());
-            let broken = &world.broken;
+            let (faulty_steps, world) = run(&[(step, fault)], Mutation::default());
+            let violations = &world.violations;
             assert!(
-                broken.is_empty(),
-                "{fault:?} at step {step} {struck:?}: {broken:?}"
+                violations.is_empty(),
+                "{fault:?} at step {step} {faulty_steps:?}: {violations:?}"
             );
             assert!(
                 !is_stuck(&world),
-                "{fault:?} at step {step} {struck:?}: {:?}",
-                world.last
+                "{fault:?} at step {step} {faulty_steps:?}: {:?}",
+                world.endings
             );
-            *cells.entry((format!("{fault:?}"), struck[0])).or_default() += 1;
+            *cells
+                .entry((format!("{fault:?}"), faulty_steps[0]))
+                .or_default() += 1;
         }
     }
     for ((fault, step), runs) in &cells {
@@ -105,7 +103,7 @@
     );
 }
 
-/// Three faults in one run, at any distance.
+/// Guards against violations that need three faults in one run.
 #[test]
 fn triples_of_faults() {
     let faults = faults();
@@ -116,9 +114,13 @@
             for third in &faults {
                 for start in 0..length {
                     let (middle, end) = (start + start % 4, start + 5 + start % 3);
-                    let strikes = [(start, first), (middle, second), (end, third)];
-                    let (_, world) = run(&strikes, Mutation::default());
-                    assert!(world.broken.is_empty(), "{strikes:?}: {:?}", world.broken);
+                    let faults_by_step = [(start, first), (middle, second), (end, third)];
+                    let (_, world) = run(&faults_by_step, Mutation::default());
+                    assert!(
+                        world.violations.is_empty(),
+                        "{faults_by_step:?}: {:?}",
+                        world.violations
+                    );
                     runs += 1;
                 }
             }
@@ -127,14 +129,14 @@
     println!("triples {runs}");
 }
 
-fn is_broken_somewhere(mutation: Mutation) -> bool {
+fn causes_violation(mutation: Mutation) -> bool {
     let faults = faults();
     let length = length_of(mutation);
     let any = |first: &Fault| {
         faults.iter().any(|second| {
             (0..length).any(|step| {
-                let strikes = [(step, first), (step + 2, second)];
-                !run(&strikes, mutation).1.broken.is_empty()
+                let faults_by_step = [(step, first), (step + 2, second)];
+                !run(&faults_by_step, mutation).1.violations.is_empty()
             })
         })
     };
@@ -151,7 +153,7 @@
         forget_to_close: true,
         ..Mutation::default()
     };
-    assert!(is_broken_somewhere(mutation));
+    assert!(causes_violation(mutation));
 }
 
 #[test]
@@ -160,7 +162,7 @@
         ignore_incarnation: true,
         ..Mutation::default()
     };
-    assert!(is_broken_somewhere(mutation));
+    assert!(causes_violation(mutation));
 }
 
 #[test]
@@ -169,7 +171,7 @@
         no_claims: true,
         ..Mutation::default()
     };
-    assert!(is_broken_somewhere(mutation));
+    assert!(causes_violation(mutation));
 }
 
 #[test]
@@ -178,5 +180,5 @@
         trust_silence: true,
         ..Mutation::default()
     };
-    assert!(is_broken_somewhere(mutation));
+    assert!(causes_violation(mutation));
 }
--- a/crates/core/tests/support/calls.rs
+++ b/crates/core/tests/support/calls.rs
@@ -1,4 +1,4 @@
-//! A world of calls to a plain service: entries, the key-value service, sidecars and the service.
+//! A simulation of calls to a plain service, with entries, the key-value service and sidecars.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,9 +22,9 @@
 use jujube_core::time::Instant;
 use jujube_core::verdict::Verdict;
 
-/// A write or read of the claim.
+/// A request to the key-value service about the claim.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum KvRequest {
     Create(Record),
     Read,
     Replace(Record, Record),
@@ -32,10 +32,10 @@
     Release(Record),
 }
 
-/// Something on its way; the first number is the submission.
+/// A message in transit; the first field is the number of the submission.
 #[derive(Clone, Debug)]
 pub enum Message {
-    Kv(usize, Ask),
+    Kv(usize, KvRequest),
     KvAnswer(usize, Outcome),
     Dispatch(usize, Dispatch),
     Run(usize, Dispatch),
@@ -49,11 +49,11 @@
 impl Message {
     pub fn step(&self) -> &'static str {
         match self {
-            Self::Kv(_, Ask::Create(_)) => "claim",
-            Self::Kv(_, Ask::Read) => "read back",
-            Self::Kv(_, Ask::Replace(..)) => "move claim",
-            Self::Kv(_, Ask::Finish(_)) => "record",
-            Self::Kv(_, Ask::Release(_)) => "free claim",
+            Self::Kv(_, KvRequest::Create(_)) => "claim",
+            Self::Kv(_, KvRequest::Read) => "read back",
+            Self::Kv(_, KvRequest::Replace(..)) => "move claim",
+            Self::Kv(_, KvRequest::Finish(_)) => "record",
+            Self::Kv(_, KvRequest::Release(_)) => "free claim",
             Self::KvAnswer(..) => "claim answer",
             Self::Dispatch(..) => "dispatch",
             Self::Run(..) => "before run",
@@ -80,76 +80,76 @@
     }
 }
 
-/// What goes wrong.
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// An entry is gone, with its submission.
+    /// An entry dies with its submission.
     KillEntry(usize),
-    /// A sidecar comes back without memory.
+    /// A sidecar restarts and loses its state.
     RestartSidecar(usize),
-    /// A sidecar and its service are gone.
+    /// A sidecar and its service die.
     KillSidecar(usize),
-    /// A sidecar takes no new work.
+    /// A sidecar refuses new calls.
     Drain(usize),
-    /// The key-value service fails from now on, and until the last submission.
+    /// The key-value service is down until recovery.
     KvDown,
     /// The next message is lost.
     Lose,
-    /// The next message comes long after its sender has given up on it.
+    /// The next message arrives after its sender has timed out.
     Late,
 }
 
-/// Guards that are switched off.
+/// Safeguards to disable.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Mutation {
-    /// A call that the deduplicator does not know is said to be not run, and not closed.
+    /// An unknown call is reported as not run and is not closed.
     pub forget_to_close: bool,
-    /// A sidecar that restarted speaks for its earlier run.
+    /// A restarted sidecar answers for its earlier run.
     pub ignore_incarnation: bool,
     /// Calls are dispatched without a claim.
     pub no_claims: bool,
-    /// An unclear dispatch is taken as not run.
+    /// A dispatch without an answer is treated as not run.
     pub trust_silence: bool,
 }
 
 struct Sidecar {
     deduplicator: at_most_once::Deduplicator,
-    incarnation: BootId,
+    boot: BootId,
     alive: bool,
-    /// What the earlier runs had begun goes on at the service.
-    life: u64,
+    /// The number of restarts; calls of earlier runs continue at the service.
+    restarts: u64,
 }
 
 struct Submission {
     call: Call,
     entry: usize,
     budget: Budget,
-    /// Calls that were dispatched.
+    /// The dispatched calls.
     calls: Vec<Request>,
 }
 
-/// How a submission ended.
+/// The end of a submission.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Last {
+pub enum Ending {
     Answer,
     Replay,
     Refused(Refusal),
     EntryGone,
 }
 
-/// The world.
+/// The simulation.
 pub struct World {
     pub steps: Vec<&'static str>,
-    pub broken: Vec<String>,
-    pub last: BTreeMap<usize, Last>,
-    /// Which calls ran.
+    pub violations: Vec<String>,
+    pub endings: BTreeMap<usize, Ending>,
+    /// The calls that ran, in order.
     pub ran: Vec<Request>,
     now: u64,
     kv: Option<Record>,
     kv_down: bool,
     sidecars: Vec<Sidecar>,
     submissions: BTreeMap<usize, Submission>,
-    gone: BTreeSet<usize>,
+    dead_entries: BTreeSet<usize>,
     queue: VecDeque<Message>,
     next_call: u64,
     mutation: Mutation,
@@ -169,32 +169,32 @@
 impl World {
     pub fn new(mutation: Mutation) -> Self {
         let sidecars = (0..SIDECARS).map(|index| {
-            let incarnation = BootId(100 + index as u64);
+            let boot = BootId(100 + index as u64);
             Sidecar {
-                deduplicator: at_most_once::Deduplicator::new(incarnation, 8),
-                incarnation,
+                deduplicator: at_most_once::Deduplicator::new(boot, 8),
+                boot,
                 alive: true,
-                life: 0,
+                restarts: 0,
             }
         });
         Self {
             steps: Vec::new(),
-            broken: Vec::new(),
-            last: BTreeMap::new(),
+            violations: Vec::new(),
+            endings: BTreeMap::new(),
             ran: Vec::new(),
             now: 1_000,
             kv: None,
             kv_down: false,
             sidecars: sidecars.collect(),
             submissions: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            dead_entries: BTreeSet::new(),
             queue: VecDeque::new(),
             next_call: 1,
             mutation,
         }
     }
 
-    /// Submits the same request again, through an entry.
+    /// Submits the request through an entry.
     pub fn submit(&mut self, number: usize, entry: usize) {
         let key = Key {
             nonce: format!("nonce-{number}").into(),
@@ -221,22 +221,24 @@
         for action in actions {
             match action {
                 Action::Choose(excluded) => self.choose(number, &excluded),
-                Action::Create(record) => self.send(Message::Kv(number, Ask::Create(record))),
-                Action::Read => self.send(Message::Kv(number, Ask::Read)),
+                Action::Create(record) => self.send(Message::Kv(number, KvRequest::Create(record))),
+                Action::Read => self.send(Message::Kv(number, KvRequest::Read)),
                 Action::Replace(before, after) => {
-                    self.send(Message::Kv(number, Ask::Replace(before, after)));
+                    self.send(Message::Kv(number, KvRequest::Replace(before, after)));
+                }
+                Action::Finish(record) => self.send(Message::Kv(number, KvRequest::Finish(record))),
+                Action::Release(record) => {
+                    self.send(Message::Kv(number, KvRequest::Release(record)))
                 }
-                Action::Finish(record) => self.send(Message::Kv(number, Ask::Finish(record))),
-                Action::Release(record) => self.send(Message::Kv(number, Ask::Release(record))),
                 Action::Dispatch(dispatch) => {
                     let submission = self.submissions.get_mut(&number).unwrap();
                     submission.calls.push(dispatch.call);
                     self.send(Message::Dispatch(number, dispatch));
                 }
                 Action::Settle(dispatch) => self.send(Message::Settle(number, dispatch)),
-                Action::Answer => self.end(number, Last::Answer),
-                Action::Replay(_) => self.end(number, Last::Replay),
-                Action::Refuse(refusal) => self.end(number, Last::Refused((*refusal).clone())),
+                Action::Answer => self.end(number, Ending::Answer),
+                Action::Replay(_) => self.end(number, Ending::Replay),
+                Action::Refuse(refusal) => self.end(number, Ending::Refused((*refusal).clone())),
             }
         }
     }
@@ -251,17 +253,17 @@
                 number: self.next_call,
             },
             server: Some(name(chosen)),
-            sidecar: self.sidecars[chosen].incarnation,
+            sidecar: self.sidecars[chosen].boot,
         });
         self.next_call += 1;
         let now = self.now;
         self.with(number, |call, _| call.chosen(now, dispatch));
     }
 
-    fn end(&mut self, number: usize, last: Last) {
-        if let Some(earlier) = self.last.insert(number, last.clone()) {
-            self.broken
-                .push(format!("{number}: {earlier:?}, then {last:?}"));
+    fn end(&mut self, number: usize, ending: Ending) {
+        if let Some(earlier) = self.endings.insert(number, ending.clone()) {
+            self.violations
+                .push(format!("{number}: {earlier:?}, then {ending:?}"));
         }
     }
 
@@ -271,21 +273,21 @@
 
     fn with(&mut self, number: usize, work: impl FnOnce(&mut Call, &mut Budget) -> Vec<Action>) {
         let submission = self.submissions.get_mut(&number).unwrap();
-        if self.gone.contains(&submission.entry) {
+        if self.dead_entries.contains(&submission.entry) {
             return;
         }
         let actions = work(&mut submission.call, &mut submission.budget);
         self.perform(number, actions);
     }
 
-    /// Takes a fault.
-    pub fn strike(&mut self, fault: &Fault) {
+    /// Injects a fault.
+    pub fn inject(&mut self, fault: &Fault) {
         match fault {
             Fault::KillEntry(entry) => {
-                self.gone.insert(*entry);
+                self.dead_entries.insert(*entry);
                 for (number, submission) in &self.submissions {
                     if submission.entry == *entry {
-                        self.last.entry(*number).or_insert(Last::EntryGone);
+                        self.endings.entry(*number).or_insert(Ending::EntryGone);
                     }
                 }
             }
@@ -298,12 +300,12 @@
             Fault::KvDown => self.kv_down = true,
             Fault::Lose => {
                 if let Some(message) = self.queue.pop_front() {
-                    self.give_up(&message);
+                    self.time_out(&message);
                 }
             }
             Fault::Late => {
                 if let Some(message) = self.queue.pop_front() {
-                    self.give_up(&message);
+                    self.time_out(&message);
                     self.queue.push_back(message);
                 }
             }
@@ -312,10 +314,10 @@
 
     fn restart(&mut self, index: usize) {
         let sidecar = &mut self.sidecars[index];
-        sidecar.life += 1;
-        sidecar.incarnation = BootId(1_000 * sidecar.life + 100 + index as u64);
-        sidecar.deduplicator = at_most_once::Deduplicator::new(sidecar.incarnation, 8);
-        // Whoever waited for an answer has lost its connection.
+        sidecar.restarts += 1;
+        sidecar.boot = BootId(1_000 * sidecar.restarts + 100 + index as u64);
+        sidecar.deduplicator = at_most_once::Deduplicator::new(sidecar.boot, 8);
+        // The restart closes the connections of waiting entries.
         let waits = |message: &&Message| match message {
             Message::Run(_, dispatch) | Message::Ran(_, dispatch) => {
                 self::index(&dispatch.server) == index
@@ -324,16 +326,16 @@
         };
         let waiting: Vec<Message> = self.queue.iter().filter(waits).cloned().collect();
         for message in waiting {
-            self.give_up(&message);
+            self.time_out(&message);
         }
     }
 
-    /// What a sender does that hears nothing.
-    fn give_up(&mut self, message: &Message) {
+    /// Reports a timeout to the sender of a message.
+    fn time_out(&mut self, message: &Message) {
         let number = message.submission();
         let now = self.now;
         match message {
-            Message::Kv(_, Ask::Finish(_) | Ask::Release(_)) => {}
+            Message::Kv(_, KvRequest::Finish(_) | KvRequest::Release(_)) => {}
             Message::Kv(..) | Message::KvAnswer(..) => {
                 self.with(number, |call, _| call.claimed(now, Outcome::Unknown));
             }
@@ -341,7 +343,7 @@
             | Message::Run(..)
             | Message::Ran(..)
             | Message::Answered(_)
-            | Message::Refused(..) => self.unclear(number),
+            | Message::Refused(..) => self.report_lost(number),
             Message::Settle(..) | Message::Settled(..) => {
                 self.with(number, |call, budget| {
                     call.settled(Verdict::MayHaveRun, budget)
@@ -350,7 +352,7 @@
         }
     }
 
-    fn unclear(&mut self, number: usize) {
+    fn report_lost(&mut self, number: usize) {
         if self.mutation.trust_silence {
             self.with(number, |call, budget| call.refused(Verdict::NotRun, budget));
             return;
@@ -358,7 +360,7 @@
         self.with(number, |call, _| call.lost());
     }
 
-    /// Handles one message; `false` when there is none.
+    /// Handles one message; returns `false` if there is none.
     pub fn step(&mut self) -> bool {
         let Some(message) = self.queue.pop_front() else {
             return false;
@@ -369,7 +371,7 @@
         true
     }
 
-    /// Returns the step that comes next.
+    /// Returns the name of the next step.
     pub fn next_step(&self) -> &'static str {
         self.queue.front().map_or("idle", Message::step)
     }
@@ -377,7 +379,7 @@
     fn handle(&mut self, message: Message) {
         let now = self.now;
         match message {
-            Message::Kv(number, ask) => self.kv(number, ask),
+            Message::Kv(number, request) => self.kv(number, request),
             Message::KvAnswer(number, outcome) => {
                 self.with(number, |call, _| call.claimed(now, outcome));
             }
@@ -388,7 +390,7 @@
             }
             Message::Ran(number, dispatch) => {
                 let sidecar = &mut self.sidecars[index(&dispatch.server)];
-                if sidecar.incarnation == dispatch.sidecar {
+                if sidecar.boot == dispatch.sidecar {
                     let state = at_most_once::State::Answered(200);
                     sidecar
                         .deduplicator
@@ -408,9 +410,9 @@
         }
     }
 
-    fn kv(&mut self, number: usize, ask: Ask) {
+    fn kv(&mut self, number: usize, request: KvRequest) {
         if self.kv_down {
-            if !matches!(ask, Ask::Finish(_) | Ask::Release(_)) {
+            if !matches!(request, KvRequest::Finish(_) | KvRequest::Release(_)) {
                 self.send(Message::KvAnswer(number, Outcome::Down));
             }
             return;
@@ -419,18 +421,18 @@
             Some(record) => Outcome::Found(record.clone()),
             None => Outcome::Absent,
         };
-        let outcome = match ask {
-            Ask::Create(record) if self.kv.is_none() => {
+        let outcome = match request {
+            KvRequest::Create(record) if self.kv.is_none() => {
                 self.kv = Some(record);
                 Outcome::Created
             }
-            Ask::Create(_) | Ask::Read => found(&self.kv),
-            Ask::Replace(before, after) if self.kv.as_ref() == Some(&before) => {
+            KvRequest::Create(_) | KvRequest::Read => found(&self.kv),
+            KvRequest::Replace(before, after) if self.kv.as_ref() == Some(&before) => {
                 self.kv = Some(after);
                 Outcome::Created
             }
-            Ask::Replace(..) => found(&self.kv),
-            Ask::Finish(record) => {
+            KvRequest::Replace(..) => found(&self.kv),
+            KvRequest::Finish(record) => {
                 if self.kv.as_ref() == Some(&record) {
                     let progress = Progress::Done(Answer {
                         body: Some("answer".into()),
@@ -440,7 +442,7 @@
                 }
                 return;
             }
-            Ask::Release(record) => {
+            KvRequest::Release(record) => {
                 if self.kv.as_ref() == Some(&record) {
                     self.kv = None;
                 }
@@ -454,16 +456,16 @@
         let now = Instant(self.now);
         let sidecar = &mut self.sidecars[index(&dispatch.server)];
         if !sidecar.alive {
-            // The connection is refused: nothing was sent.
+            // The connection is refused, so nothing was sent.
             self.send(Message::Refused(number, Verdict::NotRun));
             return;
         }
-        let meant_for = if self.mutation.ignore_incarnation {
-            sidecar.incarnation
+        let addressed_to = if self.mutation.ignore_incarnation {
+            sidecar.boot
         } else {
             dispatch.sidecar
         };
-        match sidecar.deduplicator.begin(now, dispatch.call, meant_for) {
+        match sidecar.deduplicator.begin(now, dispatch.call, addressed_to) {
             Ok(()) => {
                 sidecar
                     .deduplicator
@@ -482,8 +484,8 @@
         let sidecar = &mut self.sidecars[index(&dispatch.server)];
         let mut verdict = Verdict::MayHaveRun;
         if sidecar.alive {
-            let meant_for = if self.mutation.ignore_incarnation {
-                sidecar.incarnation
+            let addressed_to = if self.mutation.ignore_incarnation {
+                sidecar.boot
             } else {
                 dispatch.sidecar
             };
@@ -491,19 +493,21 @@
             verdict = if self.mutation.forget_to_close && !known {
                 Verdict::NotRun
             } else {
-                sidecar.deduplicator.settle(now, dispatch.call, meant_for)
+                sidecar
+                    .deduplicator
+                    .settle(now, dispatch.call, addressed_to)
             };
         }
         self.send(Message::Settled(number, verdict));
     }
 
-    /// Runs until nothing is on its way.
-    pub fn settle_down(&mut self) {
+    /// Handles messages until none is left.
+    pub fn run_until_idle(&mut self) {
         while self.step() {}
     }
 
-    /// Heals the key-value service and lets time pass, as before a caller comes back later.
-    pub fn heal(&mut self) {
+    /// Restarts the sidecars and the key-value service, and advances the time by a minute.
+    pub fn recover(&mut self) {
         self.kv_down = false;
         self.now += 60_000;
         for sidecar in &mut self.sidecars {
@@ -511,24 +515,27 @@
         }
     }
 
-    /// Judges what was seen from the outside.
+    /// Checks the endings against the calls that ran.
     pub fn check(&mut self) {
         if self.ran.len() > 1 {
-            self.broken.push(format!("ran {} times", self.ran.len()));
+            self.violations
+                .push(format!("ran {} times", self.ran.len()));
         }
         for (number, submission) in &self.submissions {
             let ran = submission.calls.iter().any(|call| self.ran.contains(call));
-            match self.last.get(number) {
-                None => self.broken.push(format!("{number}: no last word")),
-                Some(Last::Refused(refusal)) if refusal.verdict == Verdict::NotRun && ran => {
-                    self.broken
-                        .push(format!("{number}: said to be not run, and it ran"));
+            match self.endings.get(number) {
+                None => self.violations.push(format!("{number}: not ended")),
+                Some(Ending::Refused(refusal)) if refusal.verdict == Verdict::NotRun && ran => {
+                    self.violations
+                        .push(format!("{number}: reported as not run, but ran"));
                 }
-                Some(Last::Answer) if !ran => {
-                    self.broken.push(format!("{number}: an answer to nothing"));
+                Some(Ending::Answer) if !ran => {
+                    self.violations
+                        .push(format!("{number}: an answer to a call that did not run"));
                 }
-                Some(Last::Replay) if self.ran.is_empty() => {
-                    self.broken.push(format!("{number}: a replay of nothing"));
+                Some(Ending::Replay) if self.ran.is_empty() => {
+                    self.violations
+                        .push(format!("{number}: a replay of a call that did not run"));
                 }
                 Some(_) => {}
             }
