--- a/crates/core/tests/steps_differential.rs
+++ b/crates/core/tests/steps_differential.rs
@@ -1,4 +1,4 @@
-//! Model requests under random faults and random order of messages, against the naive version.
+//! Compares model requests under random faults and message order with a reference model.
 
 #![allow(
     clippy::unwrap_used,
@@ -18,9 +18,11 @@
 use support::world::World;
 use support::world::layout;
 
-/// Each range of layers keeps its third backend server: a path is always left.
+/// Returns any server but the third of each range, so that a path always exists.
 fn victim() -> impl Strategy<Value = usize> {
-    (0..layout().len()).prop_filter("one of three stays", |index| index % 3 != 2)
+    (0..layout().len()).prop_filter("the third server of a range stays alive", |index| {
+        index % 3 != 2
+    })
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
@@ -44,29 +46,27 @@
         ..ProptestConfig::default()
     })]
 
-    /// Every caller sees what the naive version gives.
-    ///
-    /// Up to three requests run at once, up to four faults strike at any steps, and messages between
-    /// any two processes overtake each other. Whatever the order, answers are whole and right.
+    /// Guards against wrong or incomplete answers when messages are reordered and up to four faults
+    /// occur among concurrent requests.
     #[test]
     fn answers_match_the_naive_version(
         seed in 0..1000_u64,
         prompts in proptest::collection::vec(proptest::collection::vec(0..500_u64, 1..6), 1..4),
         tokens in 1..5_usize,
-        strikes in proptest::collection::vec((0..120_usize, fault()), 0..5),
+        faults_by_step in proptest::collection::vec((0..120_usize, fault()), 0..5),
     ) {
         let mut world = World::new(seed, true);
         for (number, prompt) in prompts.iter().enumerate() {
             world.accept(number as u64, prompt, tokens);
         }
-        let mut strikes = strikes;
-        strikes.sort_by_key(|(step, _)| *step);
+        let mut faults_by_step = faults_by_step;
+        faults_by_step.sort_by_key(|(step, _)| *step);
         let mut done = 0;
-        for (step, fault) in &strikes {
+        for (step, fault) in &faults_by_step {
             while done < *step && world.step() {
                 done += 1;
             }
-            world.strike(fault);
+            world.inject(fault);
         }
 
         world.finish();
--- a/crates/core/tests/steps_matrix.rs
+++ b/crates/core/tests/steps_matrix.rs
@@ -1,4 +1,4 @@
-//! The fault matrix of model requests: every fault at every step, singly and in pairs.
+//! The fault matrix of model requests: each fault at each step, singly and in pairs.
 
 #![allow(
     clippy::unwrap_used,
@@ -50,7 +50,7 @@
     world
 }
 
-/// How many steps a run without faults takes.
+/// Returns the number of steps of a run without faults.
 fn length() -> usize {
     let mut world = world(Mutation::default());
     world.finish();
@@ -63,41 +63,38 @@
     world.steps.len()
 }
 
-/// Runs with faults at given steps; returns the names of the steps that were struck.
-fn run(strikes: &[(usize, &Fault)], mutation: Mutation) -> (Vec<&'static str>, Vec<String>) {
+/// Runs with faults at the given steps; returns the names of these steps and the violations.
+fn run(faults_by_step: &[(usize, &Fault)], mutation: Mutation) -> (Vec<&'static str>, Vec<String>) {
     let mut world = world(mutation);
-    let mut struck = Vec::new();
+    let mut faulty_steps = Vec::new();
     let mut done = 0;
-    for (step, fault) in strikes {
+    for (step, fault) in faults_by_step {
         while done < *step && world.step() {
             done += 1;
         }
-        struck.push(world.next_step());
-        world.strike(fault);
+        faulty_steps.push(world.next_step());
+        world.inject(fault);
     }
     world.finish();
     world.observer.check(true);
-    (struck, world.observer.broken)
+    (faulty_steps, world.observer.broken)
 }
 
-/// Each caller sees its own whole answer, or is gone itself.
-///
-/// One fault strikes between any two events of two requests that run at once. Three backend servers
-/// hold each range of layers, so that a path is always left and a failure is never excused. The
-/// observer compares tokens with the naive version, counts which engine ran which layer at which
-/// position, and looks for requests that nobody freed.
+/// Guards against wrong or missing answers, layers that run twice and requests that are never freed,
+/// with one fault between any two events. Every range of layers keeps a live server, so that every
+/// answer must be complete.
 #[test]
 fn every_fault_at_every_step() {
     let length = length();
     let mut cells: BTreeMap<(String, &str), usize> = BTreeMap::new();
     for fault in &faults() {
         for step in 0..length {
-            let (struck, broken) = run(&[(step, fault)], Mutation::default());
+            let (faulty_steps, violations) = run(&[(step, fault)], Mutation::default());
             assert!(
-                broken.is_empty(),
-                "{fault:?} at step {step} ({struck:?}): {broken:?}"
+                violations.is_empty(),
+                "{fault:?} at step {step} ({faulty_steps:?}): {violations:?}"
             );
-            *cells.entry((name(fault), struck[0])).or_default() += 1;
+            *cells.entry((name(fault), faulty_steps[0])).or_default() += 1;
         }
     }
     print(&cells);
@@ -112,10 +109,8 @@
     println!("cells {} runs {total}", cells.len());
 }
 
-/// Two faults in one run: two deaths at once, and a death during a recovery, are ordinary.
-///
-/// The second fault strikes from none to some thirty steps after the first, in the midst of the
-/// recovery. Two of three backend servers of a range may be gone then; one is left.
+/// Guards against a second failure at the same time as the first or during the recovery from it.
+/// Of the three servers of each range, one stays alive.
 #[test]
 fn pairs_of_faults() {
     let length = length();
@@ -139,29 +134,29 @@
     for (other, second) in faults.iter().enumerate() {
         for start in (0..length).step_by(3) {
             let offset = (index * 7 + other * 5 + start) % 31;
-            let strikes = [(start, first), (start + offset, second)];
-            let (_, broken) = run(&strikes, Mutation::default());
-            assert!(broken.is_empty(), "{strikes:?}: {broken:?}");
+            let faults_by_step = [(start, first), (start + offset, second)];
+            let (_, violations) = run(&faults_by_step, Mutation::default());
+            assert!(violations.is_empty(), "{faults_by_step:?}: {violations:?}");
             runs += 1;
         }
     }
     runs
 }
 
-fn is_broken_somewhere(mutation: Mutation) -> bool {
+fn causes_violation(mutation: Mutation) -> bool {
     let length = length();
     let any = |fault: &Fault| (0..length).any(|step| !run(&[(step, fault)], mutation).1.is_empty());
     faults().iter().any(any)
 }
 
-/// With a guard off, a cell goes red: the matrix would notice its loss.
+/// Checks that the matrix detects the loss of a safeguard.
 #[test]
 fn the_ledger_is_needed() {
     let mutation = Mutation {
         forget_ledger: true,
         ..Mutation::default()
     };
-    assert!(is_broken_somewhere(mutation));
+    assert!(causes_violation(mutation));
 }
 
 #[test]
@@ -170,7 +165,7 @@
         resume_from_zero: true,
         ..Mutation::default()
     };
-    assert!(is_broken_somewhere(mutation));
+    assert!(causes_violation(mutation));
 }
 
 #[test]
@@ -179,19 +174,16 @@
         ignore_positions: true,
         ..Mutation::default()
     };
-    assert!(is_broken_somewhere(mutation));
+    assert!(causes_violation(mutation));
 }
 
-/// Epochs keep recoveries apart, and no answer depends on them.
-///
-/// Every token goes back through the entry before it is an input, and every stage counts positions:
-/// a late frame or token of an older epoch is at a position that has been taken, or carries what its
-/// successor would. Engines that draw different tokens for the same position change nothing in that.
+/// Epochs separate recoveries, but answers don't depend on them: a late message of an older epoch is
+/// for a position that is already known, or has the same values as that of the current epoch.
 #[test]
 fn answers_do_not_depend_on_epochs() {
     let mutation = Mutation {
         ignore_epochs: true,
         ..Mutation::default()
     };
-    assert!(!is_broken_somewhere(mutation));
+    assert!(!causes_violation(mutation));
 }
--- a/crates/core/tests/support/model.rs
+++ b/crates/core/tests/support/model.rs
@@ -1,4 +1,4 @@
-//! The naive version: a model whose text depends on every layer run, in order.
+//! A reference model whose tokens depend on each layer run and their order.
 
 use jujube_core::layer::Range;
 
@@ -7,23 +7,23 @@
     value ^ (value >> 29)
 }
 
-/// Runs one layer at one position; the cache moves on.
+/// Runs one layer at one position and updates its cache.
 pub fn layer(number: u32, input: u64, cache: &mut u64) -> u64 {
     let output = mix(input ^ mix(*cache).wrapping_add(u64::from(number) + 1));
     *cache = mix(*cache ^ output);
     output
 }
 
-/// How many tokens a sampler draws from: two engines need not draw the same.
-const DRAWN: u64 = 8;
+/// The number of tokens that a sampler chooses from; two engines may choose differently.
+const SAMPLED: u64 = 8;
 
-/// Returns a token for the last layer's output, as one life of an engine draws it.
-pub fn sample(output: u64, life: u64) -> u64 {
-    output % 1000 * DRAWN + mix(life) % DRAWN
+/// Samples a token from the output of the last layer; the choice depends on the run of the engine.
+pub fn sample(output: u64, sampler: u64) -> u64 {
+    output % 1000 * SAMPLED + mix(sampler) % SAMPLED
 }
 
-/// The naive version: one process, one request, all layers. Returns the first token that does not
-/// follow from the prompt and the tokens before it, whichever engine drew those.
+/// Runs all layers in one process and returns the index of the first token that does not follow from
+/// the prompt and the tokens before it.
 pub fn first_wrong(layers: Range, prompt: &[u64], tokens: &[u64]) -> Option<usize> {
     let mut caches = vec![0; layers.end as usize];
     let sequence: Vec<u64> = prompt.iter().chain(tokens).copied().collect();
@@ -33,7 +33,7 @@
             value = layer(number, value, &mut caches[number as usize]);
         }
         let next = sequence.get(position + 1)?;
-        if position + 1 >= prompt.len() && next / DRAWN != value % 1000 {
+        if position + 1 >= prompt.len() && next / SAMPLED != value % 1000 {
             return Some(position + 1 - prompt.len());
         }
     }
--- a/crates/core/tests/support/world.rs
+++ b/crates/core/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! The world: controllers, engines and the messages between them.
+//! A simulation of controllers, engines and the messages between them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -43,7 +43,7 @@
 use super::observer::Observer;
 use super::observer::Seen;
 
-/// Something on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub enum Message {
     Open(Stage, Open),
@@ -70,7 +70,7 @@
 }
 
 impl Message {
-    /// Names the step at which a fault strikes.
+    /// Returns the name of the step that handles this message.
     pub fn step(&self) -> &'static str {
         match self {
             Self::Open(..) => "open",
@@ -89,26 +89,26 @@
     }
 }
 
-/// What goes wrong.
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Sidecar and engine are gone for good.
+    /// A sidecar and its engine die.
     Kill(usize),
-    /// They are gone, and come back empty.
+    /// A sidecar and its engine restart and lose their state.
     Restart(usize),
-    /// The engine alone comes back empty.
+    /// An engine restarts and loses its state.
     EngineRestart(usize),
-    /// They stand still, and go on later with what was sent to them.
+    /// A sidecar and its engine pause, and handle their messages later.
     Freeze(usize),
-    /// The next message is lost without a word.
+    /// The next message is lost.
     Lose,
-    /// The next message comes twice.
+    /// The next message is duplicated.
     Double,
-    /// The next message comes after all others.
+    /// The next message arrives after all others.
     Late,
-    /// The entry is gone for good.
+    /// The entry dies.
     EntryKilled,
-    /// The caller of the first request is gone.
+    /// The caller of the first request disconnects.
     CallerGone,
 }
 
@@ -131,20 +131,20 @@
     frozen: Option<Vec<Message>>,
 }
 
-/// The guards that a mutation switches off, to show that each is needed.
+/// Safeguards to disable, to check that each is needed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Mutation {
-    /// Frames and tokens are taken whatever their epoch.
+    /// Frames and tokens are accepted with any epoch.
     pub ignore_epochs: bool,
-    /// Engines run a repeat of a frame again: the ledger is passed by.
+    /// Engines run duplicate frames again, without the ledger.
     pub forget_ledger: bool,
-    /// Stages resume from zero: the successor's count is not asked.
+    /// Stages resume from zero instead of the count of their successor.
     pub resume_from_zero: bool,
-    /// Tokens are taken as the next ones whatever their position.
+    /// Tokens are accepted as the next ones with any position.
     pub ignore_positions: bool,
 }
 
-/// The world.
+/// The simulation.
 pub struct World {
     pub now: Instant,
     pub observer: Observer,
@@ -165,7 +165,7 @@
 const ENTRY: BootId = BootId(1);
 const TICK: Span = Span(100);
 
-/// Three kinds of stage, three of each; the last kind of the second runs two parts.
+/// Returns nine stages: three servers for each of three ranges of layers.
 pub fn layout() -> Vec<Stage> {
     let held = [("a", "0-2"), ("b", "2-4"), ("c", "4-6")];
     let each = held.iter().flat_map(|(kind, layers)| {
@@ -271,11 +271,11 @@
 
     fn route(&mut self, request: Request, stages: Option<Vec<Stage>>) {
         let now = self.now;
-        let Some((session, booked)) = self.sessions.get_mut(&request) else {
+        let Some((session, chosen)) = self.sessions.get_mut(&request) else {
             return;
         };
         let route = stages.map(|stages| {
-            *booked = stages.clone();
+            *chosen = stages.clone();
             let entry = "entry".into();
             Arc::new(Route { entry, stages })
         });
@@ -286,10 +286,10 @@
 
     fn reroute(&mut self, request: Request, excluded: &[Server]) {
         self.table = self.build_table();
-        let booked = self.sessions[&request].1.clone();
+        let chosen = self.sessions[&request].1.clone();
         let stages = self
             .chooser
-            .repair(&self.table, &booked, excluded, &mut self.random);
+            .repair(&self.table, &chosen, excluded, &mut self.random);
         self.route(request, stages);
     }
 
@@ -345,7 +345,7 @@
             .unwrap()
     }
 
-    fn book(&mut self, index: usize, actions: Vec<ledger::Action>) {
+    fn perform_ledger(&mut self, index: usize, actions: Vec<ledger::Action>) {
         let server = self.nodes[index].0.server.clone();
         let life = self.nodes[index].1.life;
         for action in actions {
@@ -382,8 +382,8 @@
         }
     }
 
-    /// Takes a fault.
-    pub fn strike(&mut self, fault: &Fault) {
+    /// Injects a fault.
+    pub fn inject(&mut self, fault: &Fault) {
         match fault {
             Fault::Kill(index) => self.kill(*index),
             Fault::Restart(index) => {
@@ -411,11 +411,11 @@
             }
             Fault::Lose => {
                 let lost = self.queue.pop_front();
-                // What was on its way through an engine is lost with the engine's answer.
+                // A lost message to or from an engine loses the answer of the engine.
                 if let Some(Message::Ran(server, ..) | Message::Engine(server, ..)) = &lost {
                     let index = self.index(server);
                     self.lose_life(index);
-                    self.engine_silent(lost.unwrap());
+                    self.time_out_engine(lost.unwrap());
                 }
             }
             Fault::Double => {
@@ -447,8 +447,8 @@
         }
     }
 
-    /// An engine that gives no answer: the sidecar gives up on it after a while.
-    fn engine_silent(&mut self, message: Message) {
+    /// Times out the run of an engine that does not answer.
+    fn time_out_engine(&mut self, message: Message) {
         let (server, life, request, run) = match message {
             Message::Ran(server, life, request, run, _) => (server, life, request, run),
             Message::Engine(server, life, work) => (server, life, work.request, work.run),
@@ -474,7 +474,7 @@
         self.send(Message::Down(server));
     }
 
-    /// Handles one message; `false` when there is none.
+    /// Handles one message; returns `false` if there is none.
     pub fn step(&mut self) -> bool {
         if self.shuffle && self.queue.len() > 1 {
             let drawn = self.random.random_range(0..self.queue.len());
@@ -488,13 +488,13 @@
         true
     }
 
-    /// Returns the step that comes next.
+    /// Returns the name of the next step.
     pub fn next_step(&self) -> &'static str {
         self.queue.front().map_or("idle", Message::step)
     }
 
-    /// Keeps a message for a frozen node; `true` when it was kept.
-    fn is_held(&mut self, server: &Server, message: &Message) -> bool {
+    /// Queues a message for a frozen node; returns whether it was queued.
+    fn queue_if_frozen(&mut self, server: &Server, message: &Message) -> bool {
         let index = self.index(server);
         match &mut self.nodes[index].1.frozen {
             Some(held) => {
@@ -509,7 +509,7 @@
         match message.clone() {
             Message::Open(stage, open) => {
                 let (request, epoch) = (open.request, open.epoch);
-                if self.is_held(&stage.server, &message) {
+                if self.queue_if_frozen(&stage.server, &message) {
                     return;
                 }
                 let opened = self.at(&stage.server, |node, now, actions| {
@@ -531,7 +531,7 @@
                 }));
             }
             Message::Resume(stage, mut resume) => {
-                if self.is_held(&stage.server, &message) {
+                if self.queue_if_frozen(&stage.server, &message) {
                     return;
                 }
                 if self.mutation.resume_from_zero {
@@ -550,7 +550,7 @@
                 }
             }
             Message::Frame(server, from, frame) => {
-                if self.is_held(&server, &message) {
+                if self.queue_if_frozen(&server, &message) {
                     return;
                 }
                 self.frame(server, from, frame);
@@ -577,12 +577,12 @@
             }
             Message::Down(server) => self.down(&server),
             Message::Engine(server, life, work) => {
-                if !self.is_held(&server, &message) {
+                if !self.queue_if_frozen(&server, &message) {
                     self.engine(server, life, &work);
                 }
             }
             Message::Ran(server, life, request, run, outputs) => {
-                if self.is_held(&server, &message) {
+                if self.queue_if_frozen(&server, &message) {
                     return;
                 }
                 if self.nodes[self.index(&server)].1.life != life {
@@ -594,7 +594,7 @@
                 });
             }
             Message::Release(server, request, epoch) => {
-                if self.is_held(&server, &message) {
+                if self.queue_if_frozen(&server, &message) {
                     return;
                 }
                 self.at(&server, |node, now, actions| {
@@ -612,7 +612,7 @@
         }
     }
 
-    /// Works on a node that is alive.
+    /// Runs a function on a node if it is alive, and sends its actions.
     fn at<T>(
         &mut self,
         server: &Server,
@@ -625,7 +625,7 @@
         }
         let mut actions = Vec::new();
         let result = work(&mut self.nodes[index].1, now, &mut actions);
-        self.book(index, actions);
+        self.perform_ledger(index, actions);
         Some(result)
     }
 
@@ -637,7 +637,7 @@
             frame.epoch = session.epoch();
         }
         if self.mutation.forget_ledger {
-            self.run_past_the_ledger(&server, &frame);
+            self.run_without_ledger(&server, &frame);
         }
         let received = self.at(&server, |node, now, actions| {
             node.ledger.frame(now, &frame, actions)
@@ -659,8 +659,8 @@
         }
     }
 
-    /// What a sidecar without a ledger would do with a frame.
-    fn run_past_the_ledger(&mut self, server: &Server, frame: &Frame) {
+    /// Runs a frame as a sidecar without a ledger would.
+    fn run_without_ledger(&mut self, server: &Server, frame: &Frame) {
         let index = self.index(server);
         let layers = self.nodes[index].0.layers;
         let life = (server.to_string(), self.nodes[index].1.engine_life);
@@ -707,14 +707,14 @@
                 }
             }
         } else if sequence.position > work.first.0 || node.engine_life == 0 {
-            // An engine that came back empty refuses what it never began; any other has had it.
+            // A restarted engine refuses sequences that it did not start; any other has run them.
             let what = format!("{server}: position {} does not fit", work.first);
             self.observer.broken.push(what);
         }
         self.send(Message::Ran(server, life, work.request, work.run, outputs));
     }
 
-    /// Lets time pass, and frozen nodes go on.
+    /// Advances the time and resumes frozen nodes.
     fn tick(&mut self) {
         self.now = self.now.plus(TICK);
         let requests: Vec<Request> = self.sessions.keys().copied().collect();
@@ -745,17 +745,19 @@
         !self.entry_alive || self.sessions.values().all(|(session, _)| session.is_done())
     }
 
-    /// Runs to the end, then long enough for leases to lapse; what is left then is an orphan.
+    /// Runs to the end and until leases have expired; requests that are open then are leaked.
     pub fn finish(&mut self) {
-        const MOST_TICKS: usize = 200;
+        const MAX_TICKS: usize = 200;
         const LEASE_TICKS: usize = 200;
-        const MOST_STEPS: usize = 20_000;
+        const MAX_STEPS: usize = 20_000;
         let mut steps = 0;
-        for _ in 0..MOST_TICKS {
+        for _ in 0..MAX_TICKS {
             while self.step() {
                 steps += 1;
-                if steps > MOST_STEPS {
-                    self.observer.broken.push("it goes round in circles".into());
+                if steps > MAX_STEPS {
+                    self.observer
+                        .broken
+                        .push("more than the maximum number of steps".into());
                     return;
                 }
             }
@@ -772,7 +774,7 @@
             if node.alive && !node.ledger.is_empty() {
                 self.observer
                     .broken
-                    .push(format!("{}: holds an orphan", stage.server));
+                    .push(format!("{}: holds a leaked request", stage.server));
             }
         }
     }
