--- a/crates/core/tests/returns.rs
+++ b/crates/core/tests/returns.rs
@@ -13,7 +13,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use servers::LONGEST_MS;
+use servers::MAX_DURATION_MS;
 use servers::STEP_MS;
 use servers::Site;
 
@@ -28,7 +28,7 @@
     let mut random = StdRng::seed_from_u64(seed);
     let mut site = Site::draw(&mut random, load_seconds);
     let hand_over = random.random_range(0..4_000 / STEP_MS) * STEP_MS;
-    for now in (0..LONGEST_MS).step_by(STEP_MS as usize) {
+    for now in (0..MAX_DURATION_MS).step_by(STEP_MS as usize) {
         if site.servers.carries() {
             return (site, Some(now));
         }
@@ -70,7 +70,7 @@
     for seed in 0..DAYS {
         let mut random = StdRng::seed_from_u64(seed);
         let mut site = Site::draw(&mut random, NEAR_SECONDS);
-        for now in (0..LONGEST_MS / 4).step_by(STEP_MS as usize) {
+        for now in (0..MAX_DURATION_MS / 4).step_by(STEP_MS as usize) {
             let is_whole = site.servers.carries();
             let broken = site.servers.broken_off;
             site.step(now);
--- a/crates/core/tests/support/servers.rs
+++ b/crates/core/tests/support/servers.rs
@@ -1,4 +1,4 @@
-//! Backend servers that give up and load layers, and a planner before them, in simulated time.
+//! A simulation of backend servers that load and unload layers, and of their planner.
 
 use std::collections::BTreeMap;
 
@@ -19,34 +19,34 @@
 use super::pipeline::holders;
 use super::pipeline::model;
 
-/// How long one step of the simulation takes.
+/// The duration of a simulation step.
 pub const STEP_MS: u64 = 50;
-/// How long a day is played at most.
-pub const LONGEST_MS: u64 = 60_000;
-/// How often the planner looks, and how often it gives an order again that was refused.
-const LOOK_MS: u64 = 250;
-const AGAIN_MS: u64 = 700;
-/// How long the longest request runs.
-const RUNS_MS: u64 = 20_000;
-/// How long after a load is due it counts as held up.
-const SHOWN_MS: u64 = 1_500;
-/// How late registrations show at most.
-const LAG_MS: u64 = 1_000;
+/// The maximum duration of a simulation.
+pub const MAX_DURATION_MS: u64 = 60_000;
+/// The interval between plans, and between attempts to send a refused order.
+const PLAN_INTERVAL_MS: u64 = 250;
+const RETRY_INTERVAL_MS: u64 = 700;
+/// The maximum duration of a request.
+const MAX_REQUEST_MS: u64 = 20_000;
+/// How long after its due time a load counts as blocked.
+const BLOCKED_AFTER_MS: u64 = 1_500;
+/// The maximum delay of registrations.
+const MAX_LAG_MS: u64 = 1_000;
 
-/// A request that passes through layers of a server.
+/// A request that uses layers of a server.
 #[derive(Clone, Debug)]
 struct Passing {
     layers: Range,
     ends: u64,
-    /// Whether an entry knows of it.
+    /// Whether an entry reports it.
     is_known: bool,
 }
 
-/// An order that a server carries out.
+/// An order in progress at a server.
 #[derive(Clone, Debug)]
 struct Move {
     layers: Range,
-    /// What is left to load, in milliseconds at full speed.
+    /// The remaining load time at full speed.
     left_ms: f64,
 }
 
@@ -80,12 +80,12 @@
 pub struct Servers {
     model: Model,
     all: Vec<Server>,
-    /// How many requests were broken off.
+    /// The number of interrupted requests.
     pub broken_off: usize,
 }
 
 impl Servers {
-    /// Tells whether requests can pass through the whole model.
+    /// Returns whether the servers hold all layers of the model.
     pub fn carries(&self) -> bool {
         gaps(self.model.layers, self.all.iter().map(|server| server.held)).is_empty()
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Gives a server an order; `false` when it refuses.
+    /// Sends an order to a server; returns whether it accepts.
     fn order(&mut self, order: &Order) -> bool {
         let per_layer_ms = self.model.load_seconds * 1e3 / f64::from(self.model.layers);
         let found = self
@@ -141,19 +141,19 @@
     }
 }
 
-/// Servers and the planner before them.
+/// Servers and their planner.
 pub struct Site {
     pub servers: Servers,
     orders: Assignments,
-    /// Orders to give, and when.
+    /// Orders to send, and when.
     to_give: BTreeMap<Incarnation, (u64, Order)>,
-    /// What servers registered, oldest first.
+    /// Registrations of the servers, oldest first.
     registered: Vec<(u64, BTreeMap<Incarnation, Range>)>,
     lag_ms: u64,
 }
 
 impl Site {
-    /// Draws servers that hold, wait and run anything.
+    /// Draws servers with random layers, requests and orders in progress.
     pub fn draw(random: &mut StdRng, load_seconds: f64) -> Self {
         let model = Model {
             load_seconds,
@@ -172,7 +172,7 @@
         let mut site = Self::of(model, all, random);
         for server in &mut site.servers.all {
             if random.random_bool(0.15) {
-                // It carries out an order of a planner that nobody remembers.
+                // It has an order in progress from an unknown planner.
                 let layers = server.held;
                 server.held = Range::default();
                 server.moving = Some(Move {
@@ -191,7 +191,7 @@
             for _ in 0..random.random_range(0..12) {
                 passing.push(Passing {
                     layers: holder.assigned,
-                    ends: random.random_range(0..RUNS_MS),
+                    ends: random.random_range(0..MAX_REQUEST_MS),
                     is_known: random.random_bool(0.5),
                 });
             }
@@ -214,11 +214,11 @@
             orders: Assignments::default(),
             to_give: BTreeMap::new(),
             registered: Vec::new(),
-            lag_ms: random.random_range(0..LAG_MS),
+            lag_ms: random.random_range(0..MAX_LAG_MS),
         }
     }
 
-    /// Has another planner take over; it may know what the one before had accepted.
+    /// Replaces the planner by another, which may know the accepted orders.
     pub fn replace_planner(&mut self, now: u64, knows: bool) {
         let accepted = if knows {
             self.orders.accepted()
@@ -229,11 +229,11 @@
         self.to_give.clear();
     }
 
-    /// Returns within what time a whole path stands, in milliseconds.
+    /// Returns the time until a complete path must exist, in milliseconds.
     ///
-    /// Twice a registration shows and the planner looks: at the first plan, and when it is seen what holds that up. All
-    /// memory is loaded for each, at the rate that all share. Where that takes longer than a look, a path may stand for a
-    /// moment meanwhile, and orders given then wait for requests.
+    /// Allows for two plans, the second after loads of the first are seen to be blocked, each of which loads all memory
+    /// at the shared rate. If that takes longer than the interval between plans, a path may exist for a short time
+    /// meanwhile, and orders sent then wait for requests.
     pub fn bound_ms(&self) -> u64 {
         let model = &self.servers.model;
         let fits = self
@@ -243,17 +243,21 @@
             .map(|s| model.max_layers(s.holder.profile, 1.0));
         let layers = f64::from(fits.sum::<u32>()) / f64::from(model.layers);
         let all_ms = (model.load_seconds * 1e3 * layers / f64::from(model.concurrent_loads)) as u64;
-        let waits = if all_ms > LOOK_MS { RUNS_MS } else { 0 };
-        2 * (LAG_MS + LOOK_MS + all_ms) + SHOWN_MS + waits
+        let waits = if all_ms > PLAN_INTERVAL_MS {
+            MAX_REQUEST_MS
+        } else {
+            0
+        };
+        2 * (MAX_LAG_MS + PLAN_INTERVAL_MS + all_ms) + BLOCKED_AFTER_MS + waits
     }
 
-    /// Plays one step.
+    /// Simulates one step.
     pub fn step(&mut self, now: u64) {
         self.servers.step(now);
         let held = |server: &Server| (server.holder.server.clone(), server.held);
         let held = self.servers.all.iter().map(held).collect();
         self.registered.push((now, held));
-        if now % LOOK_MS == 0 {
+        if now % PLAN_INTERVAL_MS == 0 {
             self.look(now);
         }
         self.give(now);
@@ -311,7 +315,7 @@
                 self.to_give.remove(&order.server);
             } else {
                 self.orders.refuse(&order);
-                let again = (now + AGAIN_MS, order.clone());
+                let again = (now + RETRY_INTERVAL_MS, order.clone());
                 self.to_give.insert(order.server, again);
             }
         }
