--- a/crates/core/tests/support/entries.rs
+++ b/crates/core/tests/support/entries.rs
@@ -1,5 +1,4 @@
-//! Days of entries before a service that fails: who starts, dies, and knows what, and how often the service is
-//! asked once more.
+//! A simulation of entries that retry requests of a failing service, while entries and the store fail too.
 
 #![allow(dead_code, reason = "each test file uses its part")]
 #![allow(clippy::unwrap_used, reason = "a fixture that fails must panic")]
@@ -32,96 +31,96 @@
     slack: 60.0,
     window: Span(10_000),
 };
-/// The pause between two steps of a played day, in milliseconds.
+/// The duration of a simulation step, in milliseconds.
 pub const STEP: u64 = 100;
-/// How long a day lasts: several windows, with room for a lease to end in between.
+/// The duration of a simulation: several windows, long enough for a lease to expire.
 pub const DAY: u64 = 90_000;
-/// How long before it is booked a request may have been sent, and after it is booked a retry may arrive.
+/// How long before its recording a request may have been sent, and how long after it a retry may arrive.
 const SENT_BEFORE: u64 = 1_000;
 pub const ARRIVES_AFTER: u64 = 2_000;
 
-/// How many copies of the store are kept, one a step: it comes back up to ten seconds old.
+/// The number of copies of the store, one per step; a restored store is at most ten seconds old.
 const COPIES: usize = 100;
 
-/// What happens to the entries of a day.
+/// A fault or change of load to inject.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     Kill,
     KillAll,
     Remove,
     Add,
     CutFromStore,
-    /// Its process stands still, and its clock runs on.
+    /// The process pauses while its clock continues.
     Freeze,
     CutFromStoreAndFreeze,
-    /// It hears of no change, though its lease is renewed.
+    /// It receives no changes, but renews its lease.
     Deaf,
     Outage,
     OutageThatStopsLeases,
-    /// The store comes back from a copy that is some seconds old.
+    /// The store is restored from a copy that is some seconds old.
     Restore,
-    Crowd,
-    Calm,
+    HighLoad,
+    NoLoad,
 }
 
-const TROUBLES: [Trouble; 13] = [
-    Trouble::Kill,
-    Trouble::KillAll,
-    Trouble::Remove,
-    Trouble::Add,
-    Trouble::CutFromStore,
-    Trouble::Freeze,
-    Trouble::CutFromStoreAndFreeze,
-    Trouble::Deaf,
-    Trouble::Outage,
-    Trouble::OutageThatStopsLeases,
-    Trouble::Restore,
-    Trouble::Crowd,
-    Trouble::Calm,
+const FAULTS: [Fault; 13] = [
+    Fault::Kill,
+    Fault::KillAll,
+    Fault::Remove,
+    Fault::Add,
+    Fault::CutFromStore,
+    Fault::Freeze,
+    Fault::CutFromStoreAndFreeze,
+    Fault::Deaf,
+    Fault::Outage,
+    Fault::OutageThatStopsLeases,
+    Fault::Restore,
+    Fault::HighLoad,
+    Fault::NoLoad,
 ];
 
-/// How many kinds of trouble there are.
-pub const KINDS: usize = TROUBLES.len();
+/// The number of kinds of faults.
+pub const KINDS: usize = FAULTS.len();
 
-/// One trouble of a day: when, which kind, for how long, and which entry.
+/// A fault to inject: its time, kind, duration and entry.
 pub type Event = (u64, usize, u64, usize);
 
-/// The service that all ask.
+/// The failing service.
 pub fn service() -> Service {
     "failing".into()
 }
 
-/// A write that the store may carry out: some pieces for a lease, or some pieces off it.
+/// A write to the store that acquires or returns pieces of a lease.
 #[derive(Clone, Debug)]
 enum Write {
     Take(Vec<Piece>),
     GiveBack(Vec<(Piece, Revision)>),
 }
 
-/// What the store forgets the last seconds of.
+/// The data of the store, which a restore resets.
 #[derive(Clone, Default)]
 struct Data {
     revision: u64,
-    /// Until when each lease lasts.
+    /// When each lease expires.
     leases: BTreeMap<LeaseId, u64>,
     pieces: BTreeMap<Piece, Record>,
-    /// Every change: its revision, which piece, what was written.
+    /// The revision, piece and new record of each change.
     history: Vec<(Revision, Piece, Option<Record>)>,
-    /// Which eras are marked, and until when the key beside the mark stands.
+    /// The marked eras, and when the key next to the mark expires.
     marks: BTreeMap<Era, u64>,
 }
 
-/// The platform's store, as far as pieces of the slack need it.
+/// The part of the platform's store that holds pieces of the slack.
 #[derive(Default)]
 struct Store {
     data: Data,
     era: Era,
-    /// What it had in the last seconds, oldest first.
+    /// Copies of the last seconds, oldest first.
     copies: VecDeque<Data>,
-    /// Writes that are carried out late: when, by whom, what.
+    /// Delayed writes, with their time and lease.
     late: Vec<(u64, LeaseId, Write)>,
     down_until: u64,
-    leases_stand: bool,
+    leases_paused: bool,
 }
 
 impl Store {
@@ -151,7 +150,7 @@
         true
     }
 
-    /// Carries a write out if all its conditions hold; tells whether they did.
+    /// Applies a write if all its conditions hold; returns whether they did.
     fn write(&mut self, tenure: LeaseId, write: &Write) -> bool {
         match write {
             Write::Take(pieces) => {
@@ -193,7 +192,7 @@
         held
     }
 
-    /// Comes back as it was `age` milliseconds ago.
+    /// Restores the data of `age` milliseconds ago.
     fn restore(&mut self, age: u64) {
         let steps = (age / STEP) as usize;
         let steps = steps.min(self.copies.len().saturating_sub(1));
@@ -205,7 +204,7 @@
         self.era = self.era.next();
     }
 
-    /// Marks the present era, if nobody has.
+    /// Marks the current era, unless it is marked.
     fn mark(&mut self, now: u64, settling: &Settling) {
         let shows = !self.data.marks.is_empty() || !self.data.pieces.is_empty();
         let settles = match settling.had_before(shows) {
@@ -220,7 +219,7 @@
         if self.copies.len() > COPIES {
             self.copies.pop_front();
         }
-        if now < self.down_until && self.leases_stand {
+        if now < self.down_until && self.leases_paused {
             self.data
                 .leases
                 .values_mut()
@@ -243,19 +242,19 @@
     }
 }
 
-/// One process of an entry.
+/// A process of an entry.
 struct Process {
     reserve: Reserve,
     allowance: Budget,
-    /// Up to where it follows the store; `None` until it has read it.
+    /// The last revision that it has seen; `None` until it has read the store.
     follows: Option<Revision>,
-    /// The era of the store, as far as it knows.
+    /// The eras of the store that it has seen.
     eras: Tracker,
     settling: Settling,
     next_follow: u64,
     next_renewal: u64,
     next_return: u64,
-    /// Whether it was denied a retry.
+    /// Whether it was refused a retry.
     wants: bool,
 }
 
@@ -265,22 +264,22 @@
     starts_at: Option<u64>,
     store_cut_until: u64,
     deaf_until: u64,
-    /// Until when its process stands still.
+    /// When its process resumes.
     frozen_until: u64,
     requests_a_step: f64,
 }
 
-/// A day as it is played.
+/// The state of a simulation.
 pub struct Day {
     draw: StdRng,
     store: Store,
     machines: Vec<Machine>,
     requests: Vec<u64>,
-    /// When the service got a request once more.
+    /// When retries arrived at the service.
     pub arrivals: Vec<u64>,
-    /// From when the servers fail.
+    /// When the servers start to fail.
     fails_from: u64,
-    /// The only machine whose requests they fail; `None` for all.
+    /// The machine whose requests fail; `None` for all.
     only: Option<usize>,
 }
 
@@ -322,43 +321,43 @@
         }
     }
 
-    fn trouble(&mut self, now: u64, trouble: Trouble, lasts: u64, who: usize) {
+    fn inject(&mut self, now: u64, fault: Fault, lasts: u64, who: usize) {
         let count = self.machines.len();
         let machine = &mut self.machines[who % count];
         let until = now + lasts;
-        match trouble {
-            Trouble::Kill => {
+        match fault {
+            Fault::Kill => {
                 machine.process = None;
                 machine.starts_at = Some(now + lasts % 3_000);
             }
-            Trouble::KillAll => {
+            Fault::KillAll => {
                 for machine in &mut self.machines {
                     machine.process = None;
                     machine.starts_at = machine.starts_at.or(Some(now + STEP));
                 }
             }
-            Trouble::Remove => {
+            Fault::Remove => {
                 machine.process = None;
                 machine.starts_at = None;
             }
-            Trouble::Add => {
+            Fault::Add => {
                 let load = machine.requests_a_step;
                 self.machines.push(self::machine(now, load));
             }
-            Trouble::CutFromStore => machine.store_cut_until = until,
-            Trouble::Deaf => machine.deaf_until = until,
-            Trouble::Freeze => machine.frozen_until = until,
-            Trouble::CutFromStoreAndFreeze => {
+            Fault::CutFromStore => machine.store_cut_until = until,
+            Fault::Deaf => machine.deaf_until = until,
+            Fault::Freeze => machine.frozen_until = until,
+            Fault::CutFromStoreAndFreeze => {
                 machine.store_cut_until = until;
                 machine.frozen_until = now + lasts / 2;
             }
-            Trouble::Outage | Trouble::OutageThatStopsLeases => {
+            Fault::Outage | Fault::OutageThatStopsLeases => {
                 self.store.down_until = until;
-                self.store.leases_stand = matches!(trouble, Trouble::OutageThatStopsLeases);
+                self.store.leases_paused = matches!(fault, Fault::OutageThatStopsLeases);
             }
-            Trouble::Restore => self.store.restore(lasts % 10_000),
-            Trouble::Crowd => machine.requests_a_step = 12.0,
-            Trouble::Calm => machine.requests_a_step = 0.0,
+            Fault::Restore => self.store.restore(lasts % 10_000),
+            Fault::HighLoad => machine.requests_a_step = 12.0,
+            Fault::NoLoad => machine.requests_a_step = 0.0,
         }
     }
 
@@ -380,7 +379,7 @@
         }
     }
 
-    /// Returns the process on a machine, if the store answers it.
+    /// Returns the process on a machine, if it can reach the store.
     fn served(
         &mut self,
         now: u64,
@@ -408,7 +407,7 @@
         process.next_follow = now + draw.random_range(STEP..3_000);
         let reserve = &mut process.reserve;
         let mut revision = Revision(store.data.revision);
-        // Now and then history is lost, and everything is read again, at times as it was before.
+        // Sometimes the history is lost and all data is read again, possibly at an older revision.
         let follows = process.follows.filter(|_| draw.random_bool(0.8));
         match follows {
             None => {
@@ -454,7 +453,7 @@
             return;
         };
         let is_renewed = store.renew(now, tenure);
-        // An answer may be lost: the lease lasts longer than the process knows.
+        // The answer may be lost; the lease then lasts longer than the process knows.
         match draw.random_bool(0.9) {
             true if is_renewed => reserve.renewed(at),
             true => reserve.lost(),
@@ -462,7 +461,7 @@
         }
     }
 
-    /// Takes pieces that are needed, and gives back those that are not.
+    /// Acquires missing pieces and returns unneeded ones.
     fn hold(&mut self, now: u64, number: usize) {
         let entries = self.machines.len() as u64;
         let Some((process, store, draw)) = self.served(now, number) else {
@@ -504,7 +503,7 @@
         }
     }
 
-    /// Takes requests, and sends all the retries that the entry allows itself.
+    /// Receives requests and sends as many retries as the entry allows.
     fn serve(&mut self, now: u64, number: usize) {
         let machine = &mut self.machines[number];
         let Some(process) = &mut machine.process else {
@@ -533,9 +532,9 @@
         }
     }
 
-    /// Returns the window in which the service got the most over what it allows, if there is one.
+    /// Returns the window with the most retries among those that exceed the limit, if any.
     pub fn broken(&mut self) -> Option<(u64, usize, f64)> {
-        // Days begin at one window, so that nothing reaches before the start of time.
+        // Simulations start late enough that no window starts before zero.
         self.arrivals.sort_unstable();
         self.requests.sort_unstable();
         let within = |times: &[u64], from: u64, to: u64| {
@@ -556,8 +555,7 @@
     }
 }
 
-/// Sends a write; tells whether it is known to have been carried out. Its answer may be lost, and it may be carried
-/// out late.
+/// Sends a write and returns whether it is known to have been applied. The write may be delayed and its answer lost.
 fn send(now: u64, store: &mut Store, draw: &mut StdRng, tenure: LeaseId, write: &Write) -> bool {
     match draw.random_range(0..10) {
         0 => {
@@ -573,31 +571,31 @@
     }
 }
 
-/// The first moment of a day: late enough that a window fits before it.
+/// The start of a simulation; a window fits before it.
 pub const BEGIN: u64 = 30_000;
 
-/// Plays a day of entries with these loads, in requests a step.
-pub fn play(loads: &[f64], troubles: &[Event], fails_from: u64, seed: u64) -> Day {
-    played(Day::new(loads, seed), troubles, fails_from)
+/// Simulates entries with these loads, in requests per step.
+pub fn play(loads: &[f64], faults: &[Event], fails_from: u64, seed: u64) -> Day {
+    played(Day::new(loads, seed), faults, fails_from)
 }
 
-/// Plays a day on which only one entry's requests fail.
+/// Simulates entries of which only one has failing requests.
 pub fn play_for_one(loads: &[f64], only: usize, fails_from: u64, seed: u64) -> Day {
     let mut day = Day::new(loads, seed);
     day.only = Some(only);
     played(day, &[], fails_from)
 }
 
-fn played(mut day: Day, troubles: &[Event], fails_from: u64) -> Day {
+fn played(mut day: Day, faults: &[Event], fails_from: u64) -> Day {
     day.fails_from = fails_from;
     for machine in &mut day.machines {
         machine.starts_at = Some(BEGIN);
     }
     let mut now = BEGIN;
     while now < BEGIN + DAY {
-        for (at, kind, lasts, who) in troubles {
+        for (at, kind, lasts, who) in faults {
             if now - BEGIN == at / STEP * STEP {
-                day.trouble(now, TROUBLES[kind % TROUBLES.len()], *lasts, *who);
+                day.inject(now, FAULTS[kind % FAULTS.len()], *lasts, *who);
             }
         }
         day.step(now);
