--- a/crates/core/src/blackboard.rs
+++ b/crates/core/src/blackboard.rs
@@ -22,7 +22,7 @@
 use crate::path::Candidate;
 use crate::path::Fleet;
 use crate::path::Table;
-use crate::request::Incarnation;
+use crate::request::BootId;
 use crate::subset;
 use crate::subset::subset;
 use crate::time::Instant;
@@ -37,7 +37,7 @@
     /// The address of its sidecar for HTTP.
     pub http: Arc<str>,
     /// The incarnation of the sidecar that a call is addressed to.
-    pub sidecar: Incarnation,
+    pub sidecar: BootId,
     /// The number of requests that it holds, by its latest heartbeat.
     pub held: u64,
 }
@@ -72,7 +72,7 @@
     pub members: Arc<BTreeMap<Server, Member>>,
     /// The states of these backend servers.
     pub membership: Membership,
-    entry: Incarnation,
+    entry: BootId,
     subset: subset::Settings,
     keys: Arc<BTreeMap<Arc<str>, Customer>>,
     solutions: BTreeMap<Service, Solution>,
@@ -100,18 +100,13 @@
     /// # use jujube_core::bundle::Trust;
     /// # use jujube_core::head::Generation;
     /// # use jujube_core::membership::Settings;
-    /// # use jujube_core::request::Incarnation;
+    /// # use jujube_core::request::BootId;
     /// let subset = jujube_core::subset::Settings::default();
-    /// let board = Blackboard::new(Trust::default(), Settings::default(), Incarnation(1), subset);
+    /// let board = Blackboard::new(Trust::default(), Settings::default(), BootId(1), subset);
     /// assert_eq!(board.generation(), Generation(0));
     /// ```
     #[must_use]
-    pub fn new(
-        trust: Trust,
-        settings: Settings,
-        entry: Incarnation,
-        subset: subset::Settings,
-    ) -> Self {
+    pub fn new(trust: Trust, settings: Settings, entry: BootId, subset: subset::Settings) -> Self {
         Self {
             trust,
             history: History::default(),
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -20,7 +20,7 @@
 use crate::name::Server;
 use crate::name::Service;
 use crate::name::Zone;
-use crate::request::Incarnation;
+use crate::request::BootId;
 
 /// The size of an entry's subset.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -42,17 +42,13 @@
 ///
 /// ```
 /// # use jujube_core::bundle::Bundle;
-/// # use jujube_core::request::Incarnation;
+/// # use jujube_core::request::BootId;
 /// # use jujube_core::subset::Settings;
 /// # use jujube_core::subset::subset;
-/// assert!(subset(&Bundle::default(), Incarnation(1), &Settings::default()).is_empty());
+/// assert!(subset(&Bundle::default(), BootId(1), &Settings::default()).is_empty());
 /// ```
 #[must_use]
-pub fn subset(
-    bundle: &Bundle,
-    entry: Incarnation,
-    settings: &Settings,
-) -> BTreeMap<Server, Member> {
+pub fn subset(bundle: &Bundle, entry: BootId, settings: &Settings) -> BTreeMap<Server, Member> {
     let mut by_service: BTreeMap<&Service, Members<'_>> = BTreeMap::new();
     for (server, member) in &bundle.servers {
         by_service
@@ -87,7 +83,7 @@
 
 /// Selects up to `each` members of every group by rendezvous hashing, so that the removal of a member
 /// changes the subsets of only those entries that had selected it.
-fn select(pool: Members<'_>, entry: Incarnation, each: usize) -> Members<'_> {
+fn select(pool: Members<'_>, entry: BootId, each: usize) -> Members<'_> {
     if each == 0 {
         return pool;
     }
@@ -109,7 +105,7 @@
     selected
 }
 
-fn score(entry: Incarnation, server: &Server) -> u64 {
+fn score(entry: BootId, server: &Server) -> u64 {
     let mut hasher = DefaultHasher::new();
     (entry, server).hash(&mut hasher);
     hasher.finish()
