--- a/crates/core/src/pipeline/attempts.rs
+++ b/crates/core/src/pipeline/attempts.rs
@@ -62,12 +62,12 @@
 /// attempts.begin("a".into());
 /// attempts.left(&"a".into());
 /// attempts.begin("b".into());
-/// assert_eq!(attempts.outlook(2, |_| Liveness::Suspected), Permission::Pending);
-/// assert_eq!(attempts.outlook(2, |_| dead), Permission::Allowed);
+/// assert_eq!(attempts.permission(2, |_| Liveness::Suspected), Permission::Pending);
+/// assert_eq!(attempts.permission(2, |_| dead), Permission::Allowed);
 ///
 /// attempts.lost(Instant(0), &"b".into());
 /// attempts.settle(Instant(2_000), |_| Liveness::Alive);
-/// let permission = attempts.outlook(2, |_| dead);
+/// let permission = attempts.permission(2, |_| dead);
 /// assert_eq!(permission, Permission::Denied, "both servers outlived their runs");
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -138,7 +138,11 @@
 
     /// Returns whether the request may run on one more server, on a route that allows `limit` of
     /// them.
-    pub fn outlook(&self, limit: usize, liveness: impl Fn(&Incarnation) -> Liveness) -> Permission {
+    pub fn permission(
+        &self,
+        limit: usize,
+        liveness: impl Fn(&Incarnation) -> Liveness,
+    ) -> Permission {
         if self.runs() >= limit + MAX_LOST_RUNS {
             return Permission::Denied;
         }
--- a/crates/core/src/pipeline/cell.rs
+++ b/crates/core/src/pipeline/cell.rs
@@ -173,7 +173,7 @@
     }
 
     /// Records a message from an entry.
-    pub fn heard(&mut self, now: Instant, name: &Arc<str>, location: Location) {
+    pub fn observe(&mut self, now: Instant, name: &Arc<str>, location: Location) {
         if *name == self.own {
             return;
         }
--- a/crates/core/src/pipeline/deputy.rs
+++ b/crates/core/src/pipeline/deputy.rs
@@ -30,7 +30,7 @@
 /// # use jujube_core::time::Instant;
 /// let [planner, own, other] = [9, 1, 2].map(|host| ([10, 0, 0, host], 7340).into());
 /// let mut election = Election::default();
-/// election.heard(Instant(0), planner, Some(Token(4)));
+/// election.observe(Instant(0), planner, Some(Token(4)));
 /// let gone = Instant(0).plus(PLANNER_TIMEOUT);
 /// assert_eq!(election.deputy_token(Instant(100), own, [other]), None);
 /// assert_eq!(election.deputy_token(gone, own, [other]), Some(Token(4)));
@@ -48,7 +48,7 @@
 
 impl Election {
     /// Applies an entry's report on whether it is planner, and under which token.
-    pub fn heard(&mut self, now: Instant, entry: SocketAddr, token: Option<Token>) {
+    pub fn observe(&mut self, now: Instant, entry: SocketAddr, token: Option<Token>) {
         if token.is_some() && token >= self.token {
             self.token = token;
             self.planner = Some((entry, now));
@@ -71,10 +71,10 @@
     /// Returns the planner, if it reported recently.
     #[must_use]
     pub fn planner(&self, now: Instant) -> Option<SocketAddr> {
-        let heard = self
+        let recent = self
             .planner
             .filter(|(_, at)| now.since(*at) < PLANNER_TIMEOUT);
-        heard.map(|(planner, _)| planner)
+        recent.map(|(planner, _)| planner)
     }
 
     /// Returns the token under which this entry is to give orders, if it is to act as planner;
--- a/crates/core/src/pipeline/reserve.rs
+++ b/crates/core/src/pipeline/reserve.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Record {
     /// The lease under which it was taken.
-    pub tenure: LeaseId,
+    pub lease_id: LeaseId,
     /// When it was written.
     pub revision: Revision,
 }
@@ -169,7 +169,7 @@
 
     /// Returns the lease of this entry, if it has one.
     #[must_use]
-    pub fn tenure(&self) -> Option<LeaseId> {
+    pub fn lease_id(&self) -> Option<LeaseId> {
         self.own_lease.map(|lease| lease.id)
     }
 
@@ -190,7 +190,7 @@
         service: &Service,
         pieces: impl IntoIterator<Item = Piece>,
     ) {
-        if self.tenure() != Some(lease) {
+        if self.lease_id() != Some(lease) {
             return;
         }
         for piece in pieces {
@@ -203,7 +203,7 @@
     /// It may be a new piece of this entry, if the response to its write was lost.
     pub fn written(&mut self, service: &Service, piece: Piece, record: Record) {
         let key = (service.clone(), piece);
-        if self.tenure() != Some(record.tenure) {
+        if self.lease_id() != Some(record.lease_id) {
             self.held.remove(&key);
             self.taken.insert(key, record);
             return;
@@ -290,13 +290,13 @@
         let own = self.held.iter().filter(|((of, _), _)| of == service);
         let known = own.filter_map(|((_, piece), written)| Some((*piece, (*written)?)));
         let pieces: Vec<(Piece, Revision)> = known.take(spare.min(most)).collect();
-        let tenure = self.tenure().unwrap_or_default();
+        let lease_id = self.lease_id().unwrap_or_default();
         for (piece, revision) in &pieces {
             let key = (service.clone(), *piece);
             self.held.remove(&key);
             self.returned.insert(*revision);
             let revision = *revision;
-            self.taken.insert(key, Record { tenure, revision });
+            self.taken.insert(key, Record { lease_id, revision });
         }
         pieces
     }
--- a/crates/core/src/pipeline/roster.rs
+++ b/crates/core/src/pipeline/roster.rs
@@ -133,28 +133,28 @@
 
     /// Returns whether the registrations may be those of an older copy.
     #[must_use]
-    pub fn is_copied(&self, now: Instant) -> bool {
+    pub fn may_be_outdated(&self, now: Instant) -> bool {
         self.outdated_until.is_some_and(|until| now < until)
     }
 
     /// Returns whether servers have had time to register again after a restore, so that the
     /// registrations are to be read again.
     #[must_use]
-    pub fn is_to_be_read(&self, now: Instant) -> bool {
+    pub fn needs_reread(&self, now: Instant) -> bool {
         self.outdated_until.is_some_and(|until| now >= until)
     }
 
     /// Records that the registrations are being read again after a restore.
-    pub fn read_again(&mut self) {
+    pub fn start_reread(&mut self) {
         self.outdated_until = None;
     }
 
     /// Applies a registration that was written.
-    pub fn seen(&mut self, now: Instant, mut server: Server) -> Effect {
+    pub fn registered(&mut self, now: Instant, mut server: Server) -> Effect {
         let name = server.incarnation.server.clone();
-        let is_copied = self.is_copied(now);
+        let may_be_outdated = self.may_be_outdated(now);
         let Some(before) = self.registrations.get(&name).cloned() else {
-            if is_copied && self.departed.contains_key(&server.incarnation) {
+            if may_be_outdated && self.departed.contains_key(&server.incarnation) {
                 return Effect::None;
             }
             self.insert(now, server);
@@ -170,7 +170,7 @@
             self.insert(now, server);
             return Effect::Restarted;
         }
-        if is_copied && before.draining_since.is_some() && server.state == State::Ready {
+        if may_be_outdated && before.draining_since.is_some() && server.state == State::Ready {
             server.state = State::Draining;
         }
         let draining = server.state == State::Draining;
@@ -297,7 +297,12 @@
     }
 
     /// Marks departed servers as dead that count as ended by the suspicions.
-    pub fn tell_dead(&mut self, now: Instant, suspicion: &Suspicion, local_health: &LocalHealth) {
+    pub fn record_deaths(
+        &mut self,
+        now: Instant,
+        suspicion: &Suspicion,
+        local_health: &LocalHealth,
+    ) {
         let has_ended =
             |server: &Incarnation| suspicion.evidence(now, server, local_health).is_some();
         for (incarnation, departure) in &mut self.departed {
@@ -335,7 +340,7 @@
         }
         for server in servers {
             let name = server.incarnation.server.clone();
-            let effect = self.seen(now, server);
+            let effect = self.registered(now, server);
             effects.push((name, effect));
         }
         effects.retain(|(_, effect)| *effect != Effect::None);
--- a/crates/core/tests/belief.rs
+++ b/crates/core/tests/belief.rs
@@ -26,14 +26,14 @@
         attempts.begin(server.into());
     }
     assert_eq!(
-        attempts.outlook(2, |_| Liveness::Ended(Evidence::Silent)),
+        attempts.permission(2, |_| Liveness::Ended(Evidence::Silent)),
         Permission::Allowed
     );
 
     attempts.begin("d".into());
 
     assert_eq!(
-        attempts.outlook(2, |_| Liveness::Ended(Evidence::Silent)),
+        attempts.permission(2, |_| Liveness::Ended(Evidence::Silent)),
         Permission::Denied
     );
 }
@@ -53,7 +53,7 @@
 
     attempts.settle(Instant(5_000), gone);
 
-    assert_eq!(attempts.outlook(2, gone), Permission::Denied);
+    assert_eq!(attempts.permission(2, gone), Permission::Denied);
 }
 
 /// A request may move if its server died with the run, even if it is found dead only half a second
@@ -72,7 +72,7 @@
     });
 
     assert_eq!(
-        attempts.outlook(2, |_| alive),
+        attempts.permission(2, |_| alive),
         Permission::Allowed,
         "also when it starts again"
     );
@@ -90,7 +90,7 @@
     attempts.settle(Instant(2_500), |_| Liveness::Ended(Evidence::Unregistered));
 
     let alive = |_: &Incarnation| Liveness::Alive;
-    assert_eq!(attempts.outlook(2, alive), Permission::Denied);
+    assert_eq!(attempts.permission(2, alive), Permission::Denied);
 }
 
 fn on_time_until(until: u64) -> LocalHealth {
@@ -155,7 +155,7 @@
 fn a_server_that_drains_has_ended_when_its_registration_goes() {
     let (mut suspicion, mut roster) = (Suspicion::default(), Roster::default());
     let id = Incarnation::from("a");
-    roster.seen(Instant(0), server("a", State::Draining));
+    roster.registered(Instant(0), server("a", State::Draining));
     suspicion.suspect(Instant(3_000), &id);
     suspicion.set_refusing(&id);
     suspicion.connection_broken(Instant(3_100), &id);
@@ -180,7 +180,7 @@
 fn a_server_whose_registration_goes_unannounced_may_still_serve() {
     let (mut suspicion, mut roster) = (Suspicion::default(), Roster::default());
     for id in ["leaver", "dead"] {
-        roster.seen(Instant(0), server(id, State::Ready));
+        roster.registered(Instant(0), server(id, State::Ready));
     }
     suspicion.suspect(Instant(1_000), &"dead".into());
     let mut local_health = on_time_until(5_000);
@@ -189,7 +189,7 @@
     for id in ["leaver", "dead"] {
         roster.removed(Instant(4_000), &id.into());
     }
-    roster.tell_dead(Instant(4_980), &suspicion, &local_health);
+    roster.record_deaths(Instant(4_980), &suspicion, &local_health);
 
     let liveness = |id: &str| {
         Liveness::assess(
--- a/crates/core/tests/cells.rs
+++ b/crates/core/tests/cells.rs
@@ -141,7 +141,7 @@
             }
             let receiver = &mut self.entries[to];
             if receiver.is_alive && !receiver.is_cut {
-                receiver.directory.heard(now, &name(from), location(from));
+                receiver.directory.observe(now, &name(from), location(from));
                 receiver
                     .reports
                     .receive(now, name(from), scope, Fragment::default(), summary);
--- a/crates/core/tests/incarnations.rs
+++ b/crates/core/tests/incarnations.rs
@@ -61,7 +61,7 @@
 
 fn apply(roster: &mut Roster, now: Instant, event: Event) -> Effect {
     match event {
-        Event::Registered(started_at, state) => roster.seen(now, server(started_at, state)),
+        Event::Registered(started_at, state) => roster.registered(now, server(started_at, state)),
         Event::Unreadable => roster.unreadable(&"a".into()),
         Event::Removed => roster.removed(now, &"a".into()),
         Event::Reported(started_at, held) => roster.reported(now, &incarnation(started_at), held),
@@ -217,9 +217,9 @@
 #[test]
 fn a_start_that_looks_earlier_is_a_start() {
     let mut roster = Roster::default();
-    roster.seen(Instant(0), server(LATER, State::Ready));
+    roster.registered(Instant(0), server(LATER, State::Ready));
 
-    let effect = roster.seen(Instant(5_000), server(EARLIER, State::Ready));
+    let effect = roster.registered(Instant(5_000), server(EARLIER, State::Ready));
 
     assert_eq!(effect, Effect::Restarted);
     assert!(roster.has_restarted(&incarnation(LATER)));
--- a/crates/core/tests/outage.rs
+++ b/crates/core/tests/outage.rs
@@ -51,7 +51,7 @@
             let token = self.planners.contains(sender).then_some(Token(4));
             for receiver in self.alive.iter().filter(|receiver| *receiver != sender) {
                 if !random.random_bool(loss) {
-                    self.elections[*receiver].heard(self.now, entry(*sender), token);
+                    self.elections[*receiver].observe(self.now, entry(*sender), token);
                 }
             }
         }
@@ -98,10 +98,10 @@
 #[test]
 fn a_planner_that_resigns_is_not_waited_for() {
     let mut election = Election::default();
-    election.heard(Instant(0), entry(3), Some(Token(4)));
+    election.observe(Instant(0), entry(3), Some(Token(4)));
     let before = election.deputy_token(Instant(100), entry(0), [entry(1)]);
 
-    election.heard(Instant(100), entry(3), None);
+    election.observe(Instant(100), entry(3), None);
 
     assert_eq!(before, None);
     assert_eq!(
@@ -119,9 +119,9 @@
 fn a_deputy_orders_under_the_highest_number_that_was_heard() {
     let mut election = Election::default();
     assert_eq!(election.deputy_token(Instant(0), entry(0), []), None);
-    election.heard(Instant(0), entry(3), Some(Token(7)));
+    election.observe(Instant(0), entry(3), Some(Token(7)));
 
-    election.heard(Instant(10), entry(2), Some(Token(5)));
+    election.observe(Instant(10), entry(2), Some(Token(5)));
 
     assert_eq!(
         election.planner(Instant(20)),
@@ -139,14 +139,14 @@
 #[test]
 fn a_deputy_that_was_refused_does_not_begin_again() {
     let mut election = Election::default();
-    election.heard(Instant(0), entry(3), Some(Token(4)));
+    election.observe(Instant(0), entry(3), Some(Token(4)));
     let gone = Instant(0).plus(PLANNER_TIMEOUT);
     assert_eq!(election.deputy_token(gone, entry(0), []), Some(Token(4)));
 
     election.refused(Token(4));
 
     assert_eq!(election.deputy_token(gone, entry(0), []), None);
-    election.heard(gone, entry(3), Some(Token(5)));
+    election.observe(gone, entry(3), Some(Token(5)));
     let gone = gone.plus(PLANNER_TIMEOUT);
     assert_eq!(election.deputy_token(gone, entry(0), []), Some(Token(5)));
 }
--- a/crates/core/tests/restore.rs
+++ b/crates/core/tests/restore.rs
@@ -32,15 +32,15 @@
 #[test]
 fn a_server_that_drains_gets_nothing_new_although_the_store_forgot_it() {
     let mut roster = Roster::default();
-    roster.seen(Instant(0), server("a", State::Ready));
-    roster.seen(Instant(19_000), server("a", State::Draining));
+    roster.registered(Instant(0), server("a", State::Ready));
+    roster.registered(Instant(19_000), server("a", State::Draining));
 
     roster.restored(RESTORED_AT);
     roster.replace(RESTORED_AT, vec![server("a", State::Ready)], &[]);
 
     assert!(usable(&roster).is_empty());
     let written = RESTORED_AT.plus(STALE_COPY_WINDOW);
-    roster.seen(written, server("a", State::Ready));
+    roster.registered(written, server("a", State::Ready));
     assert_eq!(usable(&roster), ["a"], "what it writes later counts");
 }
 
@@ -48,7 +48,7 @@
 #[test]
 fn a_server_that_has_left_gets_nothing_new_although_the_store_lists_it() {
     let mut roster = Roster::default();
-    roster.seen(Instant(0), server("a", State::Draining));
+    roster.registered(Instant(0), server("a", State::Draining));
     roster.removed(Instant(19_000), &"a".into());
 
     roster.restored(RESTORED_AT);
@@ -64,14 +64,14 @@
 fn a_server_that_the_store_forgot_counts_until_it_had_time_to_write_again() {
     let mut roster = Roster::default();
     for id in ["writes", "silent"] {
-        roster.seen(Instant(19_000), server(id, State::Ready));
+        roster.registered(Instant(19_000), server(id, State::Ready));
     }
 
     roster.restored(RESTORED_AT);
     roster.replace(RESTORED_AT, Vec::new(), &[]);
     assert_eq!(usable(&roster).len(), 2);
     assert_eq!(
-        roster.seen(RESTORED_AT.plus(Span(900)), server("writes", State::Ready)),
+        roster.registered(RESTORED_AT.plus(Span(900)), server("writes", State::Ready)),
         Effect::Changed
     );
     roster.expire(RESTORED_AT.plus(LAPSE_GRACE));
@@ -111,7 +111,7 @@
     let mut reserve = Reserve::new(Span(27_000), Span(10_000));
     reserve.followed(Revision(900));
     let record = Record {
-        tenure: LeaseId(5),
+        lease_id: LeaseId(5),
         revision: Revision(40),
     };
     let listed = BTreeMap::from([((service, Piece(3)), record)]);
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -96,7 +96,7 @@
 
 fn record(lease: u64, revision: u64) -> Record {
     Record {
-        tenure: LeaseId(lease),
+        lease_id: LeaseId(lease),
         revision: Revision(revision),
     }
 }
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -17,7 +17,7 @@
 fn with(names: &[&str]) -> Roster {
     let mut roster = Roster::default();
     for name in names {
-        roster.seen(Instant(0), server(*name, State::Ready));
+        roster.registered(Instant(0), server(*name, State::Ready));
     }
     roster
 }
@@ -33,7 +33,7 @@
 fn a_draining_server_gets_nothing_new() {
     let mut roster = with(&["a", "b"]);
 
-    let effect = roster.seen(Instant(0), server("a", State::Draining));
+    let effect = roster.registered(Instant(0), server("a", State::Draining));
 
     assert_eq!(effect, Effect::Draining);
     assert_eq!(usable(&roster), ["b"]);
@@ -67,7 +67,7 @@
     roster.store_lost();
     roster.store_returned(Instant(9_000));
     roster.replace(Instant(9_000), Vec::new(), &[]);
-    roster.seen(Instant(0), server("b", State::Ready));
+    roster.registered(Instant(0), server("b", State::Ready));
 
     let gone = roster.expire(Instant(9_000).plus(LAPSE_GRACE));
 
@@ -79,7 +79,7 @@
 #[test]
 fn a_server_known_to_drain_does_not_lapse() {
     let mut roster = with(&["a"]);
-    roster.seen(Instant(0), server("a", State::Draining));
+    roster.registered(Instant(0), server("a", State::Draining));
     roster.store_lost();
 
     assert_eq!(roster.removed(Instant(5), &"a".into()), Effect::Gone);
@@ -99,7 +99,7 @@
     let mut roster = with(&["a"]);
 
     assert_eq!(
-        roster.seen(Instant(0), server("a", State::Ready)),
+        roster.registered(Instant(0), server("a", State::Ready)),
         Effect::None
     );
 }
@@ -124,7 +124,7 @@
     let again = roster.reported(Instant(0), &"a".into(), moved);
     assert_eq!(again, Effect::None, "it is known");
     roster.store_returned(Instant(9_000));
-    roster.seen(Instant(0), server("a", State::Ready));
+    roster.registered(Instant(0), server("a", State::Ready));
     assert_eq!(
         roster.get(&"a".into()).map(|server| server.held),
         Some(Range::default())
@@ -161,8 +161,8 @@
 fn a_server_ages_from_when_it_was_first_seen() {
     let mut roster = with(&["a"]);
 
-    roster.seen(Instant(4_000), server("a", State::Draining));
-    roster.seen(Instant(5_000), server("b", State::Ready));
+    roster.registered(Instant(4_000), server("a", State::Draining));
+    roster.registered(Instant(5_000), server("b", State::Ready));
 
     assert_eq!(roster.age(Instant(6_000), &"a".into()), Some(Span(6_000)));
     assert_eq!(roster.age(Instant(6_000), &"b".into()), Some(Span(1_000)));
@@ -197,7 +197,7 @@
     assert_eq!(usable(&roster), ["b"]);
     assert!(roster.get(&"a".into()).is_some(), "streams there go on");
     assert_eq!(roster.unreadable(&"a".into()), Effect::None, "known");
-    let effect = roster.seen(Instant(1_000), server("a", State::Ready));
+    let effect = roster.registered(Instant(1_000), server("a", State::Ready));
     assert_eq!(effect, Effect::Changed);
     assert_eq!(usable(&roster), ["a", "b"]);
     assert_eq!(roster.age(Instant(1_000), &"a".into()), Some(Span(1_000)));
--- a/crates/core/tests/support/entries.rs
+++ b/crates/core/tests/support/entries.rs
@@ -125,10 +125,10 @@
 }
 
 impl Store {
-    fn change(&mut self, piece: Piece, tenure: Option<LeaseId>) {
+    fn change(&mut self, piece: Piece, lease_id: Option<LeaseId>) {
         self.data.revision += 1;
         let revision = Revision(self.data.revision);
-        let record = tenure.map(|tenure| Record { tenure, revision });
+        let record = lease_id.map(|lease_id| Record { lease_id, revision });
         match record {
             Some(record) => drop(self.data.pieces.insert(piece, record)),
             None => drop(self.data.pieces.remove(&piece)),
@@ -138,13 +138,13 @@
 
     fn grant(&mut self, now: u64) -> LeaseId {
         self.data.revision += 1;
-        let tenure = LeaseId(self.data.revision);
-        self.data.leases.insert(tenure, now + LEASE.0);
-        tenure
+        let lease_id = LeaseId(self.data.revision);
+        self.data.leases.insert(lease_id, now + LEASE.0);
+        lease_id
     }
 
-    fn renew(&mut self, now: u64, tenure: LeaseId) -> bool {
-        let Some(until) = self.data.leases.get_mut(&tenure) else {
+    fn renew(&mut self, now: u64, lease_id: LeaseId) -> bool {
+        let Some(until) = self.data.leases.get_mut(&lease_id) else {
             return false;
         };
         *until = now + LEASE.0;
@@ -152,16 +152,16 @@
     }
 
     /// Carries a write out if all its conditions hold; tells whether they did.
-    fn write(&mut self, tenure: LeaseId, write: &Write) -> bool {
+    fn write(&mut self, lease_id: LeaseId, write: &Write) -> bool {
         match write {
             Write::Take(pieces) => {
                 let is_free = |piece| !self.data.pieces.contains_key(piece);
-                if !self.data.leases.contains_key(&tenure) || !pieces.iter().all(is_free) {
+                if !self.data.leases.contains_key(&lease_id) || !pieces.iter().all(is_free) {
                     return false;
                 }
                 pieces
                     .iter()
-                    .for_each(|piece| self.change(*piece, Some(tenure)));
+                    .for_each(|piece| self.change(*piece, Some(lease_id)));
             }
             Write::GiveBack(pieces) => {
                 let is_same = |(piece, revision): &(Piece, Revision)| {
@@ -228,16 +228,16 @@
         }
         self.data.leases.retain(|_, until| *until > now);
         let held = self.data.pieces.iter();
-        let ended = held.filter(|(_, record)| !self.data.leases.contains_key(&record.tenure));
+        let ended = held.filter(|(_, record)| !self.data.leases.contains_key(&record.lease_id));
         let ended: Vec<Piece> = ended.map(|(piece, _)| *piece).collect();
         for piece in ended {
             self.change(piece, None);
         }
-        for (at, tenure, write) in std::mem::take(&mut self.late) {
+        for (at, lease_id, write) in std::mem::take(&mut self.late) {
             if at > now {
-                self.late.push((at, tenure, write));
+                self.late.push((at, lease_id, write));
             } else {
-                self.write(tenure, &write);
+                self.write(lease_id, &write);
             }
         }
     }
@@ -449,11 +449,11 @@
         process.next_renewal = now + 1_300;
         let (reserve, at) = (&mut process.reserve, Instant(now));
         reserve.expire(at);
-        let Some(tenure) = reserve.tenure() else {
+        let Some(lease_id) = reserve.lease_id() else {
             reserve.begun(store.grant(now), at);
             return;
         };
-        let is_renewed = store.renew(now, tenure);
+        let is_renewed = store.renew(now, lease_id);
         // An answer may be lost: the lease lasts longer than the process knows.
         match draw.random_bool(0.9) {
             true if is_renewed => reserve.renewed(at),
@@ -468,7 +468,7 @@
         let Some((process, store, draw)) = self.served(now, number) else {
             return;
         };
-        let Some(tenure) = process.reserve.tenure() else {
+        let Some(lease_id) = process.reserve.lease_id() else {
             return;
         };
         if process.settling.lacks_mark() || process.follows.is_none() {
@@ -482,9 +482,9 @@
             let count = draw.random_range(1..=8).min(free.len());
             let pieces = (0..count).map(|_| free.swap_remove(draw.random_range(0..free.len())));
             let write = Write::Take(pieces.collect());
-            if send(now, store, draw, tenure, &write) {
+            if send(now, store, draw, lease_id, &write) {
                 if let Write::Take(pieces) = write {
-                    process.reserve.took(tenure, &service(), pieces);
+                    process.reserve.took(lease_id, &service(), pieces);
                 }
             }
             return;
@@ -500,7 +500,7 @@
             .allow()
         {
             let pieces = process.reserve.give_back(&service(), rest, 8);
-            send(now, store, draw, tenure, &Write::GiveBack(pieces));
+            send(now, store, draw, lease_id, &Write::GiveBack(pieces));
         }
     }
 
@@ -558,18 +558,18 @@
 
 /// Sends a write; tells whether it is known to have been carried out. Its answer may be lost, and it may be carried
 /// out late.
-fn send(now: u64, store: &mut Store, draw: &mut StdRng, tenure: LeaseId, write: &Write) -> bool {
+fn send(now: u64, store: &mut Store, draw: &mut StdRng, lease_id: LeaseId, write: &Write) -> bool {
     match draw.random_range(0..10) {
         0 => {
             let at = now + draw.random_range(0..10_000);
-            store.late.push((at, tenure, write.clone()));
+            store.late.push((at, lease_id, write.clone()));
             false
         }
         1 => {
-            store.write(tenure, write);
+            store.write(lease_id, write);
             false
         }
-        _ => store.write(tenure, write),
+        _ => store.write(lease_id, write),
     }
 }
 
--- a/crates/core/tests/third_server.rs
+++ b/crates/core/tests/third_server.rs
@@ -99,7 +99,8 @@
     fn join(&mut self) {
         self.joined += 1;
         let id = Incarnation::from(&*format!("s{}", self.joined));
-        self.roster.seen(self.now, server(id.clone(), State::Ready));
+        self.roster
+            .registered(self.now, server(id.clone(), State::Ready));
         self.truths.insert(id, Truth::default());
     }
 
@@ -156,7 +157,8 @@
                 truth.exits_at = Some(exit);
                 truth.is_drain_unknown = kind == 0;
                 if !truth.is_drain_unknown {
-                    self.roster.seen(self.now, server(id, State::Draining));
+                    self.roster
+                        .registered(self.now, server(id, State::Draining));
                 }
             }
             // It exits without draining.
@@ -183,10 +185,10 @@
             74..=75 if !truth.is_draining => {
                 self.roster.removed(self.now, &id.server);
                 self.roster
-                    .tell_dead(self.now, &self.suspicion, &self.local_health);
+                    .record_deaths(self.now, &self.suspicion, &self.local_health);
             }
             76..=79 if truth.exits_at.is_none() => {
-                self.roster.seen(self.now, server(id, State::Ready));
+                self.roster.registered(self.now, server(id, State::Ready));
             }
             _ => {}
         }
@@ -234,7 +236,7 @@
             if truth.unregisters_at.is_some_and(|at| at <= self.now) {
                 self.roster.removed(self.now, &id.server);
                 self.roster
-                    .tell_dead(self.now, &self.suspicion, &self.local_health);
+                    .record_deaths(self.now, &self.suspicion, &self.local_health);
                 let roster = &self.roster;
                 self.suspicion.retain(|id| roster.get(id).is_some());
             }
@@ -280,7 +282,7 @@
             if !is_found_dead && choice > 0.01 {
                 return;
             }
-            if self.outlook(number) != Permission::Allowed {
+            if self.permission(number) != Permission::Allowed {
                 return;
             }
             let (request, now) = (&mut self.requests[number], self.now);
@@ -296,17 +298,17 @@
                 return;
             }
         }
-        if choice < 0.3 && self.outlook(number) == Permission::Allowed {
+        if choice < 0.3 && self.permission(number) == Permission::Allowed {
             self.send(number);
         }
     }
 
-    fn outlook(&self, number: usize) -> Permission {
+    fn permission(&self, number: usize) -> Permission {
         let (suspicion, local_health) = (&self.suspicion, &self.local_health);
         let liveness = |id: &Incarnation| {
             Liveness::assess(id, self.now, &self.roster, suspicion, local_health)
         };
-        self.requests[number].attempts.outlook(LIMIT, liveness)
+        self.requests[number].attempts.permission(LIMIT, liveness)
     }
 
     fn send(&mut self, number: usize) {
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -95,7 +95,7 @@
     fn record(key: &str, value: Option<&Value>) -> Record;
 
     /// Decodes what a request needs from an engine.
-    fn need(headers: &HeaderMap) -> Option<Demand>;
+    fn demand(headers: &HeaderMap) -> Option<Demand>;
 
     /// Encodes a path.
     fn path(path: &Path) -> String;
--- a/crates/front/src/gossip/announce.rs
+++ b/crates/front/src/gossip/announce.rs
@@ -51,13 +51,13 @@
     let key = format!("{ENTRIES}{}", state.settings.name);
     let started_at = clock::now();
     let lease = store.grant(state.retries.lease).await?;
-    let tenure = LeaseId(lease.0.unsigned_abs());
+    let lease_id = LeaseId(lease.0.unsigned_abs());
     let announcement = Announcement {
         place: Location {
             zone: state.settings.zone.clone(),
             address: state.settings.gossip,
         },
-        tenure,
+        lease_id,
     };
     let write = Write::Put {
         key: key.clone(),
@@ -83,9 +83,13 @@
         return Ok(None);
     };
     state.retries.announced.set(written.revision);
-    state.retries.reserve.borrow_mut().begun(tenure, started_at);
+    state
+        .retries
+        .reserve
+        .borrow_mut()
+        .begun(lease_id, started_at);
     log::info!(
-        "event=announced lease={tenure} revision={}",
+        "event=announced lease={lease_id} revision={}",
         written.revision
     );
     Ok(Some(lease))
@@ -115,7 +119,7 @@
             }
         };
         reserve.expire(clock::now());
-        if reserve.tenure() != Some(LeaseId(lease.0.unsigned_abs())) {
+        if reserve.lease_id() != Some(LeaseId(lease.0.unsigned_abs())) {
             log::info!("event=announcement-lost");
             return;
         }
--- a/crates/front/src/gossip/message.rs
+++ b/crates/front/src/gossip/message.rs
@@ -191,8 +191,8 @@
 
 /// Encodes a report in as many messages as it needs.
 ///
-/// A report that exceeds one datagram must be split, not dropped: the other entries would consider
-/// an entry dead that has the largest load of all.
+/// A report that exceeds one datagram is split, not dropped; otherwise the other entries would
+/// consider the entry with the largest load dead.
 pub(super) fn encode(sender: Sender<'_>, scope: &Scope, summary: &Summary) -> Vec<Vec<u8>> {
     let properties = properties(summary);
     let mut portions = 1;
--- a/crates/front/src/gossip/mod.rs
+++ b/crates/front/src/gossip/mod.rs
@@ -85,7 +85,7 @@
             continue;
         }
         rest_sent_at = sent_at;
-        let rest = state.peers.board.borrow().rest(sent_at);
+        let rest = state.peers.reports.borrow().rest(sent_at);
         if rest.entries > 0 {
             send(&state, &socket, &neighbours, &Scope::Rest, &rest).await;
         }
@@ -107,7 +107,7 @@
         if directory.borrow().cells() < 2 || !directory.borrow().is_speaker(now) {
             continue;
         }
-        let sum = state.peers.board.borrow().cell(now, &own_report(&state));
+        let sum = state.peers.reports.borrow().cell(now, &own_report(&state));
         let scope = Scope::Cell(directory.borrow().home().clone());
         let targets = directory.borrow_mut().targets(now);
         send(&state, &socket, &targets, &scope, &sum).await;
@@ -197,7 +197,7 @@
     let zone = received.zone;
     let summary = received.summary;
     let mut directory = state.peers.directory.borrow_mut();
-    directory.heard(now, &entry, Location { zone, address });
+    directory.observe(now, &entry, Location { zone, address });
     drop(directory);
     if received.portion.number == 0 {
         record_planner(state, address, &received.scope, &summary);
@@ -210,9 +210,9 @@
         load.record_slowness(now, server, *slowness);
     }
     drop(load);
-    let mut board = state.peers.board.borrow_mut();
-    board.receive(now, entry, received.scope, received.portion, summary);
-    drop(board);
+    let mut reports = state.peers.reports.borrow_mut();
+    reports.receive(now, entry, received.scope, received.portion, summary);
+    drop(reports);
     if now.since(state.peers.aggregated_at.get()) >= AGGREGATE_INTERVAL {
         aggregate(state);
     }
@@ -234,10 +234,10 @@
 fn aggregate<D: Dialect>(state: &Rc<State<D>>) {
     let now = clock::now();
     state.peers.aggregated_at.set(now);
-    let mut board = state.peers.board.borrow_mut();
-    board.expire(now);
-    let others = board.others(now);
-    drop(board);
+    let mut reports = state.peers.reports.borrow_mut();
+    reports.expire(now);
+    let others = reports.others(now);
+    drop(reports);
     state
         .peers
         .set_summary(others.entries, others.with_store, others.ready);
--- a/crates/front/src/gossip/peers.rs
+++ b/crates/front/src/gossip/peers.rs
@@ -20,7 +20,7 @@
     /// The zone and the gossip address of the entry.
     pub place: Location,
     /// The lease of the announcement, which distinguishes it from earlier ones of the same entry.
-    pub tenure: LeaseId,
+    pub lease_id: LeaseId,
 }
 
 impl Announcement {
@@ -32,15 +32,15 @@
         let mut words = text.split(' ');
         let address = words.next()?.parse().ok()?;
         let zone: Zone = words.next()?.into();
-        let tenure = words.next()?.parse().ok()?;
+        let lease_id = words.next()?.parse().ok()?;
         let place = Location { zone, address };
-        Some(Self { place, tenure })
+        Some(Self { place, lease_id })
     }
 
     /// Encodes the announcement.
     pub fn encode(&self) -> String {
         let Location { zone, address } = &self.place;
-        format!("{address} {zone} {}", self.tenure)
+        format!("{address} {zone} {}", self.lease_id)
     }
 }
 
@@ -49,7 +49,7 @@
     /// The known entries, grouped in cells.
     pub directory: RefCell<Directory>,
     /// The latest report of each entry and cell.
-    pub(super) board: RefCell<Reports>,
+    pub(super) reports: RefCell<Reports>,
     /// When the reports were last aggregated.
     pub(super) aggregated_at: Cell<Instant>,
     reachable: Cell<u64>,
@@ -62,7 +62,7 @@
     pub fn new(own: Arc<str>, place: Location) -> Self {
         Self {
             directory: RefCell::new(Directory::new(own, place)),
-            board: RefCell::default(),
+            reports: RefCell::default(),
             aggregated_at: Cell::default(),
             reachable: Cell::default(),
             with_store: Cell::default(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sets how many other entries were heard from, how many of them the store answers, and the
+    /// Sets how many other entries sent reports, how many of them the store answers, and the
     /// lowest address of those that could become planner.
     pub(super) fn set_summary(&self, reachable: u64, with_store: u64, ready: Option<SocketAddr>) {
         self.reachable.set(reachable);
--- a/crates/front/src/planner/mod.rs
+++ b/crates/front/src/planner/mod.rs
@@ -71,7 +71,7 @@
     pub fn record_report(&self, now: Instant, entry: SocketAddr, token: Option<Token>) {
         let mut election = self.election.get();
         let previous = election.planner(now);
-        election.heard(now, entry, token);
+        election.observe(now, entry, token);
         if token.is_some() && previous != Some(entry) {
             log::info!("event=planner-heard entry={entry}");
         }
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -142,7 +142,8 @@
     /// Returns whether a deputy is still needed.
     ///
     /// The store recovers some seconds before the lease of the lost planner expires, and until then
-    /// no other entry can acquire it. A deputy stops when another planner or deputy is heard from.
+    /// no other entry can acquire it. A deputy stops when a report from another planner or deputy
+    /// arrives.
     fn is_needed(&self) -> bool {
         let now = clock::now();
         let state = &self.state;
@@ -326,9 +327,9 @@
             })
         });
         let suspicion = self.state.suspicion.borrow();
-        let pulse = self.state.pulse.borrow();
+        let local_health = self.state.local_health.borrow();
         let trusted =
-            holders.filter(|holder| !suspicion.is_replaceable(now, &holder.server, &pulse));
+            holders.filter(|holder| !suspicion.is_replaceable(now, &holder.server, &local_health));
         let is_away = roster.is_store_away();
         let staying = trusted.filter(|holder| {
             let is_leaving = load.refusals.is_leaving(now, &holder.server);
--- a/crates/front/src/probe.rs
+++ b/crates/front/src/probe.rs
@@ -91,7 +91,7 @@
     let request = request_report::<D>(state, server, address);
     let body = tokio::time::timeout(PROBE_TIMEOUT, request).await??;
     let report = D::report(&body)?;
-    state.pulse.borrow_mut().record_answer(started);
+    state.local_health.borrow_mut().record_answer(started);
     if server.conflicts_with(report.born) {
         handle_restart(state, server, &report);
         anyhow::bail!("restarted");
@@ -204,7 +204,7 @@
 /// its own load. Dead servers are detected by the next probe or by other entries.
 fn is_inconclusive<D>(state: &State<D>, sent: Instant, error: &anyhow::Error) -> bool {
     let is_timeout = error.is::<tokio::time::error::Elapsed>();
-    is_timeout && state.pulse.borrow().was_delayed(sent, clock::now())
+    is_timeout && state.local_health.borrow().was_delayed(sent, clock::now())
 }
 
 /// Records a refused connection.
@@ -274,7 +274,7 @@
 fn probe_witness<D: Dialect>(state: &Rc<State<D>>) {
     let suspicion = state.suspicion.borrow();
     let newest = suspicion.newest().unwrap_or_default();
-    if state.pulse.borrow().was_connected(newest) {
+    if state.local_health.borrow().was_connected(newest) {
         return;
     }
     let roster = state.roster.borrow();
--- a/crates/front/src/reload.rs
+++ b/crates/front/src/reload.rs
@@ -16,7 +16,7 @@
 
 /// Applies changes until the process ends.
 ///
-/// Retry terms and the log level take effect at once; other settings need a restart.
+/// The retry policy and the log level take effect at once; other settings need a restart.
 pub async fn run<D: Dialect>(state: Rc<State<D>>) {
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
@@ -64,7 +64,7 @@
     } else {
         "taken"
     };
-    state.retries.set_terms(settings.retry);
+    state.retries.set_policy(settings.retry);
     if let Err(error) = logs::set_level(&settings.telemetry.level) {
         log::warn!("event=reload outcome=level-refused cause={error}");
     }
--- a/crates/front/src/retries.rs
+++ b/crates/front/src/retries.rs
@@ -31,15 +31,15 @@
 /// every few hundred milliseconds.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-type Allowances = Rc<RefCell<BTreeMap<Service, Budget>>>;
+type Budgets = Rc<RefCell<BTreeMap<Service, Budget>>>;
 
 /// The retries of an entry.
 pub struct Retries {
     /// The limits that all entries share.
-    terms: Cell<Policy>,
-    allowances: Allowances,
-    /// The TTL of this entry's lease in the store: until the last retry it sent has left the
-    /// window.
+    policy: Cell<Policy>,
+    budgets: Budgets,
+    /// The TTL of this entry's lease in the store, long enough for the last retry it sent to leave
+    /// the window.
     pub lease: Span,
     /// This entry's pieces of the slack.
     pub reserve: RefCell<Reserve>,
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Decision {
     /// The balance of the retry budget.
-    pub grounds: Balance,
+    pub balance: Balance,
     /// How many pieces of the slack this entry holds.
     pub pieces: u64,
     /// Whether the pieces may be used.
@@ -67,13 +67,13 @@
 
 impl Retries {
     /// Creates the retry budget of an entry that has sent no retries.
-    pub fn new(terms: Policy) -> Self {
-        let lease = Span(TRUST_WITHOUT_RENEWAL.0 + terms.reach().0);
+    pub fn new(policy: Policy) -> Self {
+        let lease = Span(TRUST_WITHOUT_RENEWAL.0 + policy.reach().0);
         Self {
             lease,
-            terms: Cell::new(terms),
-            allowances: Allowances::default(),
-            reserve: RefCell::new(Reserve::new(lease, terms.reach())),
+            policy: Cell::new(policy),
+            budgets: Budgets::default(),
+            reserve: RefCell::new(Reserve::new(lease, policy.reach())),
             announced: Cell::default(),
             denied: RefCell::default(),
             waiting: RefCell::default(),
@@ -83,21 +83,21 @@
     }
 
     /// Returns the limits that all entries share.
-    pub fn terms(&self) -> Policy {
-        self.terms.get()
+    pub fn policy(&self) -> Policy {
+        self.policy.get()
     }
 
     /// Replaces the limits.
-    pub fn set_terms(&self, terms: Policy) {
-        self.terms.set(terms);
-        self.reserve.borrow_mut().set_reach(terms.reach());
+    pub fn set_policy(&self, policy: Policy) {
+        self.policy.set(policy);
+        self.reserve.borrow_mut().set_reach(policy.reach());
     }
 
     /// Records a request to a service.
     pub fn record_request(&self, service: &Service) {
-        let mut allowances = self.allowances.borrow_mut();
-        let allowance = allowances.entry(service.clone()).or_default();
-        allowance.request(clock::now(), &self.terms.get());
+        let mut budgets = self.budgets.borrow_mut();
+        let budget = budgets.entry(service.clone()).or_default();
+        budget.request(clock::now(), &self.policy.get());
     }
 
     /// Returns how many pieces of the slack this entry holds for all services.
@@ -109,7 +109,7 @@
 
     /// Returns the services that have received requests.
     pub fn services(&self) -> Vec<Service> {
-        self.allowances.borrow().keys().cloned().collect()
+        self.budgets.borrow().keys().cloned().collect()
     }
 
     /// Acquires a retry if one is available; otherwise records the need for one.
@@ -124,23 +124,23 @@
 
     fn try_acquire(&self, service: &Service) -> (Option<Retry>, Decision) {
         let now = clock::now();
-        let terms = self.terms.get();
+        let policy = self.policy.get();
         let reserve = self.reserve.borrow();
-        let share = reserve.share(now, service, terms.slack);
-        let mut allowances = self.allowances.borrow_mut();
-        let allowance = allowances.entry(service.clone()).or_default();
-        let grounds = allowance.balance(now, &terms, share);
-        let retry = grounds.allow().then(|| {
-            allowance.book(now);
+        let share = reserve.share(now, service, policy.slack);
+        let mut budgets = self.budgets.borrow_mut();
+        let budget = budgets.entry(service.clone()).or_default();
+        let balance = budget.balance(now, &policy, share);
+        let retry = balance.allow().then(|| {
+            budget.book(now);
             Retry {
-                allowances: self.allowances.clone(),
+                budgets: self.budgets.clone(),
                 service: service.clone(),
                 acquired_at: now,
                 is_sent: false,
             }
         });
         let decision = Decision {
-            grounds,
+            balance,
             pieces: reserve.held(service),
             is_trusted: reserve.is_trusted(now),
         };
@@ -163,13 +163,13 @@
 
     /// Returns whether requests and `kept` retries of the slack cover all retries in the window.
     pub fn can_return(&self, service: &Service, kept: f64) -> bool {
-        let mut allowances = self.allowances.borrow_mut();
-        let Some(allowance) = allowances.get_mut(service) else {
+        let mut budgets = self.budgets.borrow_mut();
+        let Some(budget) = budgets.get_mut(service) else {
             return true;
         };
-        let terms = self.terms.get();
-        let grounds = allowance.balance(clock::now(), &terms, kept);
-        grounds.paid + grounds.share >= grounds.spent as f64
+        let policy = self.policy.get();
+        let balance = budget.balance(clock::now(), &policy, kept);
+        balance.paid + balance.share >= balance.spent as f64
     }
 
     /// Waits for a retry in order of arrival; dropping the receiver cancels the wait.
@@ -221,7 +221,7 @@
 /// available retry and acquired it later, all streams of a dead server would abandon their runs for
 /// the same last retry, and all but one would be cut even where a repair was possible.
 pub struct Retry {
-    allowances: Allowances,
+    budgets: Budgets,
     service: Service,
     acquired_at: Instant,
     is_sent: bool,
@@ -244,9 +244,9 @@
         if self.is_sent {
             return;
         }
-        let mut allowances = self.allowances.borrow_mut();
-        if let Some(allowance) = allowances.get_mut(&self.service) {
-            allowance.give_back(self.acquired_at);
+        let mut budgets = self.budgets.borrow_mut();
+        if let Some(budget) = budgets.get_mut(&self.service) {
+            budget.give_back(self.acquired_at);
         }
     }
 }
--- a/crates/front/src/slack.rs
+++ b/crates/front/src/slack.rs
@@ -46,12 +46,12 @@
 /// so that the piece is not free.
 pub fn parse_record(change: &Change) -> Option<Record> {
     let value = change.value.as_ref()?;
-    let tenure = match value {
+    let lease_id = match value {
         Value::Text(text) => text.parse().unwrap_or_default(),
         Value::Unreadable(_) => LeaseId::default(),
     };
     let revision = change.revision;
-    Some(Record { tenure, revision })
+    Some(Record { lease_id, revision })
 }
 
 /// Acquires and returns pieces until the process ends.
@@ -83,7 +83,7 @@
     let entries = state.peers.count();
     let held = state.retries.reserve.borrow().held(service);
     let needed = state.retries.take_demand(service) as f64;
-    let retries_per_piece = reserve::retries_per_piece(state.retries.terms().slack);
+    let retries_per_piece = reserve::retries_per_piece(state.retries.policy().slack);
     let needed = if retries_per_piece > 0.0 {
         (needed / retries_per_piece).ceil() as u64
     } else {
@@ -97,10 +97,10 @@
 /// Acquires the pieces that are needed; returns whether any were requested.
 async fn acquire<D, F: Feed>(state: &State<D>, store: &F, service: &Service) -> bool {
     let shortfall = shortfall(state, service).min(MAX_PIECES_PER_CALL);
-    let tenure = state.retries.reserve.borrow().tenure();
+    let lease_id = state.retries.reserve.borrow().lease_id();
     let is_marked = !state.settling.get().lacks_mark();
-    let Some(tenure) =
-        tenure.filter(|_| shortfall > 0 && is_marked && !state.is_store_unavailable())
+    let Some(lease_id) =
+        lease_id.filter(|_| shortfall > 0 && is_marked && !state.is_store_unavailable())
     else {
         return false;
     };
@@ -118,15 +118,15 @@
     });
     let writes = pieces.iter().map(|piece| Write::Put {
         key: key(service, *piece),
-        value: tenure.to_string(),
-        lease: Some(Lease(tenure.0 as i64)),
+        value: lease_id.to_string(),
+        lease: Some(Lease(lease_id.0 as i64)),
     });
     let (conditions, writes): (Vec<_>, Vec<_>) = (conditions.collect(), writes.collect());
     state.metrics.count("slack_calls");
     let outcome = match store.swap(&conditions, &writes).await {
         Ok(true) => {
             let mut reserve = state.retries.reserve.borrow_mut();
-            reserve.took(tenure, service, pieces);
+            reserve.took(lease_id, service, pieces);
             "taken".into()
         }
         Ok(false) => "met".into(),
@@ -165,7 +165,7 @@
 /// Removes the pieces to return from use.
 fn take_surplus<D>(state: &State<D>, service: &Service) -> Vec<(Piece, Revision)> {
     let rest = reserve::idle_pieces(state.peers.count());
-    let kept = reserve::retries_per_piece(state.retries.terms().slack) * rest as f64;
+    let kept = reserve::retries_per_piece(state.retries.policy().slack) * rest as f64;
     let mut reserve = state.retries.reserve.borrow_mut();
     let is_needed = reserve.free(service).len() < reserve::MIN_FREE_PIECES;
     let is_over = reserve.held(service) > rest;
--- a/crates/front/src/state.rs
+++ b/crates/front/src/state.rs
@@ -75,7 +75,7 @@
     /// The suspected backend servers.
     pub suspicion: RefCell<Suspicion>,
     /// Detects stalls of this process.
-    pub pulse: RefCell<LocalHealth>,
+    pub local_health: RefCell<LocalHealth>,
     /// The failure rates of backend servers.
     pub outliers: RefCell<Outliers>,
     /// Notified when a crash or a refusal should be reported to the other entries at once.
@@ -133,7 +133,7 @@
             gaps: Gaps::default(),
             load: RefCell::default(),
             suspicion: RefCell::default(),
-            pulse: RefCell::new(LocalHealth::new(watchdog::TICK)),
+            local_health: RefCell::new(LocalHealth::new(watchdog::TICK)),
             outliers: RefCell::default(),
             urgent_report: tokio::sync::Notify::new(),
             reported_layers: RefCell::default(),
@@ -170,13 +170,13 @@
             None => ("denied", "retries_denied"),
         };
         self.metrics.count(counter);
-        let grounds = decision.grounds;
+        let balance = decision.balance;
         log::info!(
             "event=retry request={request} service={service} outcome={outcome} spent={} paid={:.1} \
              share={:.1} pieces={} trusted={} age_ms={}",
-            grounds.spent,
-            grounds.paid,
-            grounds.share,
+            balance.spent,
+            balance.paid,
+            balance.share,
             decision.pieces,
             decision.is_trusted,
             clock::now().since(self.started)
@@ -186,8 +186,8 @@
 
     /// Returns whether the store is unavailable to this entry.
     ///
-    /// This includes an entry that starts during an outage. Counting it as connected would stop the
-    /// other entries from continuing without the store after each restart.
+    /// This includes an entry that starts during an outage. If it counted as connected, each restart
+    /// would stop the other entries from continuing without the store.
     pub fn is_store_unavailable(&self) -> bool {
         !self.registrations_read.get() || self.roster.borrow().is_store_away()
     }
@@ -206,14 +206,14 @@
     }
 
     /// Returns the assumed state of a backend server.
-    pub fn belief(&self, server: &Incarnation) -> Liveness {
+    pub fn liveness(&self, server: &Incarnation) -> Liveness {
         let (roster, suspicion) = (self.roster.borrow(), self.suspicion.borrow());
         Liveness::assess(
             server,
             clock::now(),
             &roster,
             &suspicion,
-            &self.pulse.borrow(),
+            &self.local_health.borrow(),
         )
     }
 
--- a/crates/front/src/store_watch.rs
+++ b/crates/front/src/store_watch.rs
@@ -72,7 +72,7 @@
     let mut era = store.era();
     let mut is_lost = false;
     loop {
-        if state.roster.borrow().is_to_be_read(clock::now()) {
+        if state.roster.borrow().needs_reread(clock::now()) {
             // Running servers have registered again by now; a new snapshot no longer contains
             // the dead ones of the backup.
             after = None;
@@ -187,11 +187,11 @@
     } else {
         first_snapshot(state, store).await
     };
-    // A registration that reappears after an outage is dated by the recovery, not by the start of
+    // A registration that reappears after an outage counts from the recovery, not from the start of
     // the outage.
     state.roster.borrow_mut().store_returned(clock::now());
-    if state.roster.borrow().is_to_be_read(clock::now()) {
-        state.roster.borrow_mut().read_again();
+    if state.roster.borrow().needs_reread(clock::now()) {
+        state.roster.borrow_mut().start_reread();
     }
     restore::apply_snapshot(state, store.era(), &changes);
     restore::mark_era(state, store, restore::shows_earlier_era(&changes)).await;
@@ -330,9 +330,11 @@
         return;
     }
     let mut reserve = state.retries.reserve.borrow_mut();
-    let tenure = announcement.map(|announcement| announcement.tenure);
-    if reserve.tenure().is_some() && reserve.tenure() != tenure {
-        let by = tenure.map_or("None".into(), |tenure| format!("Some(Tenure({tenure}))"));
+    let lease_id = announcement.map(|announcement| announcement.lease_id);
+    if reserve.lease_id().is_some() && reserve.lease_id() != lease_id {
+        let by = lease_id.map_or("None".into(), |lease_id| {
+            format!("Some(Tenure({lease_id}))")
+        });
         log::info!("event=announcement-overtaken by={by}");
         reserve.lost();
     }
@@ -363,7 +365,7 @@
         }
         Record::Server(server) => {
             let name = server.incarnation.server.clone();
-            (name, roster.seen(now, server))
+            (name, roster.registered(now, server))
         }
         Record::Removed(name) => {
             let effect = roster.removed(now, &name);
@@ -463,10 +465,10 @@
     let Some(table) = state.table() else {
         return;
     };
-    state.roster.borrow_mut().tell_dead(
+    state.roster.borrow_mut().record_deaths(
         clock::now(),
         &state.suspicion.borrow(),
-        &state.pulse.borrow(),
+        &state.local_health.borrow(),
     );
     let roster = state.roster.borrow();
     *state.fleets.borrow_mut() = fleet::build(&table, &roster);
--- a/crates/front/src/stream/body.rs
+++ b/crates/front/src/stream/body.rs
@@ -26,7 +26,7 @@
 use super::open::Refusal;
 use super::open::ensure_retry;
 use super::open::open;
-use super::open::outlook;
+use super::open::permission;
 use super::open::record_loss;
 use super::open::remaining_patience;
 use super::path::HeldPath;
@@ -182,7 +182,7 @@
     /// Returns whether the stream may be resumed after its last complete event.
     fn can_resume(&self) -> bool {
         let stream = &self.registration.stream;
-        let is_closed = outlook(&self.registration.state, stream) == Permission::Denied;
+        let is_closed = permission(&self.registration.state, stream) == Permission::Denied;
         self.is_events && stream.route.resumable && !is_closed
     }
 
--- a/crates/front/src/stream/mod.rs
+++ b/crates/front/src/stream/mod.rs
@@ -66,7 +66,7 @@
     request: Admitted,
     guard: Guard<D>,
 ) -> Response<Body<D>> {
-    let need = D::need(&request.outgoing.headers).unwrap_or(Demand {
+    let demand = D::demand(&request.outgoing.headers).unwrap_or(Demand {
         prompt_tokens: 0.0,
         answer_tokens: 0.0,
     });
@@ -93,7 +93,7 @@
         next_drain_move: Cell::new(now),
         next_check: Cell::new(now),
         deadline: request.deadline,
-        need,
+        demand,
         outgoing: request.outgoing,
         arrived: request.arrived,
         attempts: RefCell::default(),
@@ -111,7 +111,7 @@
         service: &stream.service,
         customer: &request.customer,
         priority: request.priority,
-        need,
+        demand,
         target: stream.route.latency_target,
     };
     let permit = match waiting::admit(&state, admission).await {
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -84,7 +84,7 @@
         if stream.is_expired.get() || clock::now() >= stream.deadline {
             return Err((Reason::Late, "deadline".into()));
         }
-        match outlook(state, stream) {
+        match permission(state, stream) {
             _ if stream.runs() == 0 => {}
             Permission::Allowed => {}
             // A lost connection is noticed within milliseconds, while a server counts as ended only
@@ -235,10 +235,11 @@
     let previous = stream.previous_path.borrow();
     let herd_at = |path| state.load.borrow().backlog.herd_size(now, path);
     let herd = previous.as_ref().map_or(1.0, herd_at);
-    let (choice, fleet, need) = choose_with(state, &stream.service, avoid, herd, |fleet, view| {
-        let need = stream.need(fleet.model.tokens_per_event);
-        (fleet.choose(need, view), fleet.clone(), need)
-    })?;
+    let (choice, fleet, demand) =
+        choose_with(state, &stream.service, avoid, herd, |fleet, context| {
+            let demand = stream.demand(fleet.model.tokens_per_event);
+            (fleet.choose(demand, context), fleet.clone(), demand)
+        })?;
     let choice = choice.filter(|choice| !choice.is_last_resort())?;
     let is_under_way = stream.events.get() > 0;
     if is_under_way
@@ -249,25 +250,25 @@
     }
     let path = choice.path;
     let mut load = state.load.borrow_mut();
-    fleet.record_prefill(&mut load, now, need, &path, None, herd);
+    fleet.record_prefill(&mut load, now, demand, &path, None, herd);
     Some(path)
 }
 
 /// Returns whether a stream may run on another server.
-pub(super) fn outlook<D>(state: &State<D>, stream: &Stream) -> Permission {
+pub(super) fn permission<D>(state: &State<D>, stream: &Stream) -> Permission {
     if !stream.route.may_repeat() {
         return Permission::Denied;
     }
     settle(state, stream);
     let limit = stream.route.attempts as usize;
     let attempts = stream.attempts.borrow();
-    attempts.outlook(limit, |server| {
-        let belief = state.belief(server);
-        let is_suspect = belief == Liveness::Alive && is_suspect(state, stream, server);
+    attempts.permission(limit, |server| {
+        let liveness = state.liveness(server);
+        let is_suspect = liveness == Liveness::Alive && is_suspect(state, stream, server);
         if is_suspect {
             Liveness::Suspected
         } else {
-            belief
+            liveness
         }
     })
 }
@@ -276,7 +277,7 @@
 pub fn settle<D>(state: &State<D>, stream: &Stream) {
     let mut attempts = stream.attempts.borrow_mut();
     if attempts.is_unsettled() {
-        attempts.settle(clock::now(), |server| state.belief(server));
+        attempts.settle(clock::now(), |server| state.liveness(server));
     }
 }
 
@@ -317,7 +318,7 @@
 
 /// Returns whether a stream that may have run can be sent to an engine again.
 pub(super) fn may_run_again<D>(state: &State<D>, stream: &Stream) -> bool {
-    outlook(state, stream) == Permission::Allowed && ensure_retry(state, stream)
+    permission(state, stream) == Permission::Allowed && ensure_retry(state, stream)
 }
 
 /// Returns whether the stream has a retry for its next run; takes one from the budget if needed.
@@ -418,7 +419,7 @@
 /// Returns the servers of earlier runs and their states, for logs.
 fn earlier_servers<D>(state: &State<D>, stream: &Stream) -> String {
     let attempts = stream.attempts.borrow();
-    let describe = |server| format!("{server}:{}", state.belief(server));
+    let describe = |server| format!("{server}:{}", state.liveness(server));
     let servers: Vec<String> = attempts.servers().map(describe).collect();
     if servers.is_empty() {
         return "-".into();
--- a/crates/front/src/stream/path.rs
+++ b/crates/front/src/stream/path.rs
@@ -60,7 +60,7 @@
 /// Sets the path of a stream: reserves the memory on the new one and releases that on the old one.
 pub fn set_path<D>(state: &State<D>, stream: &Stream, path: Option<Path>) {
     let mut load = state.load.borrow_mut();
-    let tokens = stream.need.tokens();
+    let tokens = stream.demand.tokens();
     if let Some(path) = &path {
         load.start_path(path, tokens);
     }
@@ -77,7 +77,7 @@
 pub fn release_path<D>(state: &State<D>, stream: &Stream) {
     if let Some(path) = stream.path.take() {
         let mut load = state.load.borrow_mut();
-        load.end_path(&path, stream.need.tokens());
+        load.end_path(&path, stream.demand.tokens());
         stream.previous_path.replace(Some(path));
     }
 }
@@ -111,7 +111,7 @@
     /// Releases the memory because the run was lost.
     pub(super) fn release(&mut self) {
         if let Some(path) = self.path.take() {
-            let tokens = self.stream.need.tokens();
+            let tokens = self.stream.demand.tokens();
             self.state.load.borrow_mut().end_path(&path, tokens);
         }
     }
@@ -147,14 +147,15 @@
         Cause::Draining => draining_herd(state, old),
         Cause::Dead | Cause::Slow => state.load.borrow().backlog.herd_size(now, old),
     };
-    let (chosen, fleet, need) = choose_with(state, &stream.service, avoid, herd, |fleet, view| {
-        let need = stream.need(fleet.model.tokens_per_event);
-        let chosen = match cause {
-            Cause::Draining => fleet.evacuate(need, view, old, may_reopen),
-            Cause::Dead | Cause::Slow => fleet.recover(need, view, old, may_reopen),
-        };
-        (chosen, fleet.clone(), need)
-    })?;
+    let (chosen, fleet, demand) =
+        choose_with(state, &stream.service, avoid, herd, |fleet, context| {
+            let demand = stream.demand(fleet.model.tokens_per_event);
+            let chosen = match cause {
+                Cause::Draining => fleet.evacuate(demand, context, old, may_reopen),
+                Cause::Dead | Cause::Slow => fleet.recover(demand, context, old, may_reopen),
+            };
+            (chosen, fleet.clone(), demand)
+        })?;
     if !matches!(chosen, Some(Continuation::Reopen(_))) {
         // Leaves the unused retry to other requests.
         stream.retry.take();
@@ -171,11 +172,11 @@
     let mut load = state.load.borrow_mut();
     match &chosen {
         Continuation::Reopen(choice) => {
-            fleet.record_prefill(&mut load, now, need, &choice.path, None, herd);
+            fleet.record_prefill(&mut load, now, demand, &choice.path, None, herd);
             stream.planned_path.replace(Some(choice.path.clone()));
         }
         Continuation::Repair(choice) => {
-            fleet.record_prefill(&mut load, now, need, &choice.path, Some(old), herd);
+            fleet.record_prefill(&mut load, now, demand, &choice.path, Some(old), herd);
         }
     }
     Some(chosen)
@@ -211,7 +212,7 @@
     let suspicion = state.suspicion.borrow();
     let outliers = state.outliers.borrow();
     let load = state.load.borrow();
-    let view = Context {
+    let context = Context {
         now: clock::now(),
         load: &load,
         suspicion: &suspicion,
@@ -221,5 +222,5 @@
         herd_size: herd,
         random: rand::random(),
     };
-    Some(choose(&fleet, &view))
+    Some(choose(&fleet, &context))
 }
--- a/crates/front/src/stream/record.rs
+++ b/crates/front/src/stream/record.rs
@@ -75,7 +75,7 @@
     pub planned_path: RefCell<Option<Path>>,
     /// Servers on which it stalled for no reported reason.
     pub excluded: RefCell<Vec<Incarnation>>,
-    pub(super) need: Demand,
+    pub(super) demand: Demand,
     pub(super) outgoing: Outgoing,
     pub(super) arrived: Instant,
     /// The engines of its runs.
@@ -112,12 +112,12 @@
     }
 
     /// Returns the tokens needed from now on; those generated so far count as prompt.
-    pub fn need(&self, tokens_per_event: f64) -> Demand {
+    pub fn demand(&self, tokens_per_event: f64) -> Demand {
         let generated = self.events.get() as f64 * tokens_per_event;
-        let generated = generated.min(self.need.answer_tokens);
+        let generated = generated.min(self.demand.answer_tokens);
         Demand {
-            prompt_tokens: self.need.prompt_tokens + generated,
-            answer_tokens: self.need.answer_tokens - generated,
+            prompt_tokens: self.demand.prompt_tokens + generated,
+            answer_tokens: self.demand.answer_tokens - generated,
         }
     }
 
--- a/crates/front/src/waiting.rs
+++ b/crates/front/src/waiting.rs
@@ -33,7 +33,7 @@
 const MAX_REQUESTS_PER_CUSTOMER: u64 = 10_000;
 
 struct Waiter {
-    need: Demand,
+    demand: Demand,
     admitted: oneshot::Sender<()>,
 }
 
@@ -107,7 +107,7 @@
     /// The priority; 0 is the highest.
     pub priority: u64,
     /// The tokens that it needs.
-    pub need: Demand,
+    pub demand: Demand,
     /// The target for the time to the first event.
     pub target: Span,
 }
@@ -128,7 +128,7 @@
         priority: request.priority,
         max_wait: Span((request.target.0 as f64 * MAX_WAIT_SHARE) as u64),
     };
-    let has_capacity = has_capacity(state, request.service, request.need);
+    let has_capacity = has_capacity(state, request.service, request.demand);
     let waiting = enqueue(state, &request, &share, ticket, has_capacity)?;
     let Some(admitted) = waiting else {
         return Ok(permit(state, &request));
@@ -179,7 +179,7 @@
         Decision::Wait => {
             let (admitted, receiver) = oneshot::channel();
             let waiter = Waiter {
-                need: request.need,
+                demand: request.demand,
                 admitted,
             };
             service_queue.waiters.insert(ticket, waiter);
@@ -230,9 +230,9 @@
     Span(INITIAL_DURATION.0 / 2 + spread + waiting * 10)
 }
 
-fn has_capacity<D>(state: &State<D>, service: &Service, need: Demand) -> bool {
-    let choice = stream::choose_with(state, service, &[], 1.0, |fleet, view| {
-        fleet.choose(need, view)
+fn has_capacity<D>(state: &State<D>, service: &Service, demand: Demand) -> bool {
+    let choice = stream::choose_with(state, service, &[], 1.0, |fleet, context| {
+        fleet.choose(demand, context)
     });
     // Without any path, waiting does not help; the request fails immediately.
     choice
@@ -259,10 +259,10 @@
 
 /// Admits the next request of a service; returns `false` if there is none or no capacity for it.
 fn admit_next<D>(state: &State<D>, service: &Service) -> bool {
-    let Some((ticket, need)) = next_waiting(state, service) else {
+    let Some((ticket, demand)) = next_waiting(state, service) else {
         return false;
     };
-    if !has_capacity(state, service, need) {
+    if !has_capacity(state, service, demand) {
         return false;
     }
     let mut queues = state.waiting.queues.borrow_mut();
@@ -284,6 +284,6 @@
         service_queue.head = service_queue.queue.pop(clock::now());
     }
     let ticket = service_queue.head?;
-    let need = service_queue.waiters.get(&ticket)?.need;
-    Some((ticket, need))
+    let demand = service_queue.waiters.get(&ticket)?.demand;
+    Some((ticket, demand))
 }
--- a/crates/front/src/watchdog.rs
+++ b/crates/front/src/watchdog.rs
@@ -103,7 +103,7 @@
     loop {
         tokio::time::sleep(Duration::from_millis(TICK.0)).await;
         let now = clock::now();
-        state.pulse.borrow_mut().tick(now);
+        state.local_health.borrow_mut().tick(now);
         let draining = draining(&state, now);
         let mut moved = 0;
         let streams = state.streams.by_number.borrow();
