--- a/crates/core/src/ledger/message.rs
+++ b/crates/core/src/ledger/message.rs
@@ -63,7 +63,7 @@
     Misrouted,
 }
 
-/// Tells a stage from which position its successor lacks outputs.
+/// Sends a stage the position from which its successor lacks outputs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Resume {
     /// The request.
--- a/crates/core/src/session/call.rs
+++ b/crates/core/src/session/call.rs
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Tells each stage which outputs its successor lacks, and sends the inputs to the first.
+    /// Resumes all stages after a recovery and sends the inputs to the first.
     fn run(&mut self, now: Instant, answers: &[Opened], actions: &mut Vec<Action>) {
         self.phase = Phase::Running;
         self.progress = now;
@@ -239,7 +239,7 @@
         self.feed(answers[0].count, actions);
     }
 
-    /// Tells each stage from which position to send, and which positions are a rebuild.
+    /// Sends each stage the position to send from and the positions that are a rebuild.
     ///
     /// A replacement rebuilds the positions whose inputs a later stage has received or whose token was
     /// emitted, since the stage that it replaces has run them.
