--- a/crates/front/src/planner/order.rs
+++ b/crates/front/src/planner/order.rs
@@ -43,8 +43,8 @@
 
     /// Delivers one order; after a failure the server's report decides what to do next.
     async fn deliver(self: Rc<Self>, order: Order, address: SocketAddr) {
-        let name = &order.server;
-        let mut accepted = self.orders_accepted(name, address).await;
+        let server = &order.server;
+        let mut accepted = self.orders_accepted(server, address).await;
         while self.is_current(&order) {
             if !self.may_order() {
                 tokio::time::sleep(RETRY_PAUSE).await;
@@ -59,21 +59,21 @@
                 Err(_) => "timeout".into(),
             };
             log::info!(
-                "event=order server={name} layers={} handover={handover:?} held={} requests={} token={} taken={accepted} outcome={outcome}",
+                "event=order server={server} layers={} handover={handover:?} held={} requests={} token={} taken={accepted} outcome={outcome}",
                 order.layers,
                 self.state
                     .roster
                     .borrow()
-                    .held(&name.server)
+                    .held(&server.server)
                     .unwrap_or_default(),
-                self.state.load.borrow().requests(name),
+                self.state.load.borrow().requests(server),
                 self.lease.get().token
             );
             match answer {
                 Ok(Ok(StatusCode::ACCEPTED | StatusCode::OK)) => {
                     self.accepted
                         .borrow_mut()
-                        .insert(name.clone(), accepted + 1);
+                        .insert(server.clone(), accepted + 1);
                     self.orders.borrow_mut().accept(&order);
                     return;
                 }
@@ -88,7 +88,7 @@
             if !matches!(answer, Ok(Ok(StatusCode::CONFLICT))) {
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
-            let Ok(report) = probe::report(&self.state, name, address).await else {
+            let Ok(report) = probe::report(&self.state, server, address).await else {
                 tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             };
@@ -101,7 +101,7 @@
                 self.orders.borrow_mut().refuse(&order);
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
-            while self.is_current(&order) && self.is_busy(name, address).await {
+            while self.is_current(&order) && self.is_busy(server, address).await {
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
@@ -111,20 +111,20 @@
     ///
     /// A server that holds layers has accepted orders of an earlier planner and would refuse an
     /// order with another count.
-    async fn orders_accepted(&self, name: &Incarnation, address: SocketAddr) -> u64 {
-        if let Some(accepted) = self.accepted.borrow().get(name) {
+    async fn orders_accepted(&self, server: &Incarnation, address: SocketAddr) -> u64 {
+        if let Some(accepted) = self.accepted.borrow().get(server) {
             return *accepted;
         }
-        let held = self.state.roster.borrow().held(&name.server);
+        let held = self.state.roster.borrow().held(&server.server);
         if held.is_none_or(Range::is_empty) {
             return 0;
         }
-        let report = probe::report(&self.state, name, address).await;
+        let report = probe::report(&self.state, server, address).await;
         report.map_or(0, |report| report.orders)
     }
 
-    async fn is_busy(&self, name: &Incarnation, address: SocketAddr) -> bool {
-        let report = probe::report(&self.state, name, address).await;
+    async fn is_busy(&self, server: &Incarnation, address: SocketAddr) -> bool {
+        let report = probe::report(&self.state, server, address).await;
         report.is_ok_and(|report| report.busy)
     }
 
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -112,7 +112,7 @@
             tokio::task::spawn_local(self.clone().renew(lease));
         }
         tokio::task::spawn_local(self.clone().poll_servers());
-        let mut quiet_since = clock::now();
+        let mut stable_since = clock::now();
         let mut last_count = 0;
         while !self.is_over.get() {
             if self.state.lifecycle.get() != Lifecycle::Serving {
@@ -128,10 +128,10 @@
             let count = self.state.roster.borrow().usable().count();
             if count != last_count {
                 last_count = count;
-                quiet_since = clock::now();
+                stable_since = clock::now();
             }
             if self.may_order() {
-                let is_settled = clock::now().since(quiet_since) >= SETTLE_TIME;
+                let is_settled = clock::now().since(stable_since) >= SETTLE_TIME;
                 self.plan(is_settled);
             }
         }
@@ -257,14 +257,14 @@
         let roster = self.state.roster.borrow();
         let load = self.state.load.borrow();
         let now = clock::now();
-        let engines = roster
+        let servers = roster
             .usable()
             .filter(|server| server.accelerator.is_some())
             .filter(|server| {
                 roster.is_store_away() || load.slowness(now, &server.incarnation) > 1.0
             });
-        let engines = engines.map(|server| (server.incarnation.clone(), server.address));
-        engines.collect()
+        let servers = servers.map(|server| (server.incarnation.clone(), server.address));
+        servers.collect()
     }
 
     /// Gives the orders that the current plan requires.
--- a/crates/front/src/stream/open.rs
+++ b/crates/front/src/stream/open.rs
@@ -89,7 +89,7 @@
             Permission::Allowed => {}
             // A lost connection is noticed within milliseconds, while a server counts as ended only
             // after half a second. Waits, so that streams survive a planned exit of their server.
-            Permission::Pending if wait_for_capacity(stream).await => continue,
+            Permission::Pending if wait_briefly(stream).await => continue,
             Permission::Pending | Permission::Denied => return Err((Reason::Failed, cause)),
         }
         stream.pending_interrupt.set(None);
@@ -98,7 +98,7 @@
         }
         let path = match next_path(state, stream, &avoid) {
             Some(path) => path,
-            None if wait_for_capacity(stream).await => continue,
+            None if wait_briefly(stream).await => continue,
             None => return Err(final_refusal(stream, Reason::NoServer, "no-path".into())),
         };
         let sent = send(state, stream, path, last);
@@ -143,7 +143,7 @@
                     probe::check(state, part.server, part.address);
                 }
                 if rejections >= MAX_REFUSALS {
-                    if !wait_for_capacity(stream).await {
+                    if !wait_briefly(stream).await {
                         return Err(final_refusal(stream, Reason::Refused, cause));
                     }
                     rejections = 0;
@@ -200,11 +200,11 @@
     }
 }
 
-/// Waits briefly for capacity if a stream is under way and its client can be expected to wait;
-/// returns `false` otherwise.
+/// Waits briefly before the next attempt if a stream is under way and its client can be expected to
+/// wait; returns `false` otherwise.
 ///
 /// A request that has run cannot be rejected, only aborted, and would lose the events so far.
-async fn wait_for_capacity(stream: &Stream) -> bool {
+async fn wait_briefly(stream: &Stream) -> bool {
     if remaining_patience(stream).is_none() {
         return false;
     }
@@ -223,23 +223,28 @@
 /// Returns the next path to try; reserves its prefill work.
 fn next_path<D>(state: &State<D>, stream: &Stream, avoid: &[Incarnation]) -> Option<Path> {
     let planned = stream.planned_path.take();
-    let is_sound = |path: &Path| {
+    let is_usable = |path: &Path| {
         let suspicion = state.suspicion.borrow();
         let mut servers = path.parts().iter().map(|part| &part.server);
         servers.all(|server| !suspicion.is_suspected(server) && !avoid.contains(server))
     };
-    if let Some(path) = planned.filter(is_sound) {
+    if let Some(path) = planned.filter(is_usable) {
         return Some(path);
     }
     let now = clock::now();
     let previous = stream.previous_path.borrow();
-    let herd_at = |path| state.load.borrow().backlog.herd_size(now, path);
-    let herd = previous.as_ref().map_or(1.0, herd_at);
-    let (choice, fleet, demand) =
-        choose_with(state, &stream.service, avoid, herd, |fleet, context| {
+    let herd_size_on = |path| state.load.borrow().backlog.herd_size(now, path);
+    let herd_size = previous.as_ref().map_or(1.0, herd_size_on);
+    let (choice, fleet, demand) = choose_with(
+        state,
+        &stream.service,
+        avoid,
+        herd_size,
+        |fleet, context| {
             let demand = stream.demand(fleet.model.tokens_per_event);
             (fleet.choose(demand, context), fleet.clone(), demand)
-        })?;
+        },
+    )?;
     let choice = choice.filter(|choice| !choice.is_last_resort())?;
     let is_under_way = stream.events.get() > 0;
     if is_under_way
@@ -250,7 +255,7 @@
     }
     let path = choice.path;
     let mut load = state.load.borrow_mut();
-    fleet.record_prefill(&mut load, now, demand, &path, None, herd);
+    fleet.record_prefill(&mut load, now, demand, &path, None, herd_size);
     Some(path)
 }
 
--- a/crates/front/src/stream/path.rs
+++ b/crates/front/src/stream/path.rs
@@ -143,19 +143,24 @@
     // A slow run is not given up for another one that may be rejected.
     let may_reopen = cause != Cause::Slow && may_reopen(state, stream);
     let now = clock::now();
-    let herd = match cause {
-        Cause::Draining => draining_herd(state, old),
+    let herd_size = match cause {
+        Cause::Draining => draining_herd_size(state, old),
         Cause::Dead | Cause::Slow => state.load.borrow().backlog.herd_size(now, old),
     };
-    let (chosen, fleet, demand) =
-        choose_with(state, &stream.service, avoid, herd, |fleet, context| {
+    let (chosen, fleet, demand) = choose_with(
+        state,
+        &stream.service,
+        avoid,
+        herd_size,
+        |fleet, context| {
             let demand = stream.demand(fleet.model.tokens_per_event);
             let chosen = match cause {
                 Cause::Draining => fleet.evacuate(demand, context, old, may_reopen),
                 Cause::Dead | Cause::Slow => fleet.recover(demand, context, old, may_reopen),
             };
             (chosen, fleet.clone(), demand)
-        })?;
+        },
+    )?;
     if !matches!(chosen, Some(Continuation::Reopen(_))) {
         // Leaves the unused retry to other requests.
         stream.retry.take();
@@ -166,17 +171,17 @@
         Continuation::Repair(choice) => ("repair", choice.first_event_ms),
     };
     log::info!(
-        "event=moving request={} cause={cause} way={method} ready_ms={first_event_ms:.0} crowd={herd:.0} from={old}",
+        "event=moving request={} cause={cause} way={method} ready_ms={first_event_ms:.0} crowd={herd_size:.0} from={old}",
         stream.id,
     );
     let mut load = state.load.borrow_mut();
     match &chosen {
         Continuation::Reopen(choice) => {
-            fleet.record_prefill(&mut load, now, demand, &choice.path, None, herd);
+            fleet.record_prefill(&mut load, now, demand, &choice.path, None, herd_size);
             stream.planned_path.replace(Some(choice.path.clone()));
         }
         Continuation::Repair(choice) => {
-            fleet.record_prefill(&mut load, now, demand, &choice.path, Some(old), herd);
+            fleet.record_prefill(&mut load, now, demand, &choice.path, Some(old), herd_size);
         }
     }
     Some(chosen)
@@ -187,7 +192,7 @@
 ///
 /// Assuming all entries would overestimate the contention, and no stream would move before its
 /// server exits.
-fn draining_herd<D>(state: &State<D>, old: &Path) -> f64 {
+fn draining_herd_size<D>(state: &State<D>, old: &Path) -> f64 {
     let load = state.load.borrow();
     let requests = old.parts().iter().map(|part| load.requests(&part.server));
     let max = requests.max().unwrap_or(1);
@@ -205,7 +210,7 @@
     state: &State<D>,
     service: &Service,
     avoid: &[Incarnation],
-    herd: f64,
+    herd_size: f64,
     choose: impl FnOnce(&Rc<Fleet>, &Context<'_>) -> T,
 ) -> Option<T> {
     let fleet = state.fleets.borrow().get(service)?.clone();
@@ -219,7 +224,7 @@
         outliers: &outliers,
         avoid,
         local_zone: &state.settings.zone,
-        herd_size: herd,
+        herd_size,
         random: rand::random(),
     };
     Some(choose(&fleet, &context))
