--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Which backend servers one entry speaks to.
+//! Tests of the subset of backend servers that one entry connects to.
 
 #![allow(
     clippy::unwrap_used,
@@ -13,13 +13,13 @@
 use jujube_core::bundle::parse;
 use jujube_core::layer;
 use jujube_core::layer::Range;
-use jujube_core::request::Incarnation;
+use jujube_core::request::BootId;
 use jujube_core::subset::Settings;
 use jujube_core::subset::subset;
 
 const EACH: usize = 3;
 
-/// Two zones, two ranges, twenty backend servers of each; zone `y` lacks the second range.
+/// Two zones and two ranges of layers with 20 backend servers each; zone `y` lacks the second range.
 fn bundle() -> Bundle {
     let mut text = String::from(
         "[bundle]\nserial = 1\n[accelerator a]\nlayer-tokens = 1\n\
@@ -47,31 +47,31 @@
 }
 
 #[test]
-fn subsets_cover_and_spread() {
+fn subsets_cover_the_model_and_spread_over_servers() {
     let bundle = bundle();
-    let mut taken: BTreeMap<String, usize> = BTreeMap::new();
+    let mut selections: BTreeMap<String, usize> = BTreeMap::new();
 
     for entry in 0..100 {
-        let members = subset(&bundle, Incarnation(entry), &settings("x"));
+        let members = subset(&bundle, BootId(entry), &settings("x"));
         let held: Vec<Range> = members.values().map(|member| member.layers).collect();
         assert_eq!(members.len(), 2 * EACH);
         assert_eq!(layer::first_gap(8, &held), None);
         for server in members.keys() {
-            *taken.entry(server.to_string()).or_default() += 1;
+            *selections.entry(server.to_string()).or_default() += 1;
         }
     }
 
-    // 100 entries take 3 of 20 each: 15 expected for every one.
-    assert_eq!(taken.len(), 40);
+    // 100 entries select 3 of 20 servers each, so every server is expected 15 times.
+    assert_eq!(selections.len(), 40);
     assert!(
-        taken.values().all(|count| (4..32).contains(count)),
-        "{taken:?}"
+        selections.values().all(|count| (4..32).contains(count)),
+        "{selections:?}"
     );
 }
 
 #[test]
-fn zones_that_do_not_cover_are_not_enough() {
-    let members = subset(&bundle(), Incarnation(1), &settings("y"));
+fn zones_that_lack_layers_are_extended_to_all_zones() {
+    let members = subset(&bundle(), BootId(1), &settings("y"));
 
     let held: Vec<Range> = members.values().map(|member| member.layers).collect();
     assert_eq!(layer::first_gap(8, &held), None);
@@ -79,8 +79,8 @@
 }
 
 #[test]
-fn without_settings_all_are_taken() {
-    let members = subset(&bundle(), Incarnation(1), &Settings::default());
+fn the_default_settings_select_all_servers() {
+    let members = subset(&bundle(), BootId(1), &Settings::default());
 
     assert_eq!(members.len(), 60);
 }
--- a/crates/front/src/planner/term.rs
+++ b/crates/front/src/planner/term.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jujube_core::fence::Holder as HeldLease;
+use jujube_core::fence::HeldLease;
 use jujube_core::name::Service;
 use jujube_core::pipeline::assignment::Assignments;
 use jujube_core::pipeline::model::Model;
@@ -112,7 +112,7 @@
             tokio::task::spawn_local(self.clone().renew(lease));
         }
         tokio::task::spawn_local(self.clone().poll_servers());
-        let mut quiet_since = clock::now();
+        let mut stable_since = clock::now();
         let mut last_count = 0;
         while !self.is_over.get() {
             if self.state.lifecycle.get() != Lifecycle::Serving {
@@ -128,10 +128,10 @@
             let count = self.state.roster.borrow().usable().count();
             if count != last_count {
                 last_count = count;
-                quiet_since = clock::now();
+                stable_since = clock::now();
             }
             if self.may_order() {
-                let is_settled = clock::now().since(quiet_since) >= SETTLE_TIME;
+                let is_settled = clock::now().since(stable_since) >= SETTLE_TIME;
                 self.plan(is_settled);
             }
         }
@@ -142,7 +142,8 @@
     /// Returns whether a deputy is still needed.
     ///
     /// The store recovers some seconds before the lease of the lost planner expires, and until then
-    /// no other entry can acquire it. A deputy stops when another planner or deputy is heard from.
+    /// no other entry can acquire it. A deputy stops when a report from another planner or deputy
+    /// arrives.
     fn is_needed(&self) -> bool {
         let now = clock::now();
         let state = &self.state;
@@ -256,14 +257,14 @@
         let roster = self.state.roster.borrow();
         let load = self.state.load.borrow();
         let now = clock::now();
-        let engines = roster
+        let servers = roster
             .usable()
             .filter(|server| server.accelerator.is_some())
             .filter(|server| {
                 roster.is_store_away() || load.slowness(now, &server.incarnation) > 1.0
             });
-        let engines = engines.map(|server| (server.incarnation.clone(), server.address));
-        engines.collect()
+        let servers = servers.map(|server| (server.incarnation.clone(), server.address));
+        servers.collect()
     }
 
     /// Gives the orders that the current plan requires.
@@ -326,9 +327,9 @@
             })
         });
         let suspicion = self.state.suspicion.borrow();
-        let pulse = self.state.pulse.borrow();
+        let local_health = self.state.local_health.borrow();
         let trusted =
-            holders.filter(|holder| !suspicion.is_replaceable(now, &holder.server, &pulse));
+            holders.filter(|holder| !suspicion.is_replaceable(now, &holder.server, &local_health));
         let is_away = roster.is_store_away();
         let staying = trusted.filter(|holder| {
             let is_leaving = load.refusals.is_leaving(now, &holder.server);
